--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -14,7 +14,7 @@
 from lagoonpost.gateway.access import digest_key
 from lagoonpost.gateway.state import EntryMember
 from lagoonpost.systems.entry import assign_entries
-from lagoonpost.systems.event import Declared, Peered
+from lagoonpost.systems.event import Declared, GatewaysChanged
 from lagoonpost.systems.gateway import decide
 from lagoonpost.systems.gateway_tables import GatewayTables
 from lagoonpost.tables.entity import (
@@ -69,7 +69,7 @@
     declaration = make_declaration(runners, 1)
     tables = GatewayTables("gateway-1", GATEWAYS)
     rng = random.Random(1)
-    decide(tables, Peered(GATEWAYS), 0.0, rng)
+    decide(tables, GatewaysChanged(GATEWAYS), 0.0, rng)
     decide(tables, Declared(declaration), 0.0, rng)
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -19,18 +19,18 @@
     Counts,
     Evidence,
     add_interval,
+    compute_log_ratios,
     is_worse,
-    weigh,
 )
 from lagoonpost.systems.move import (
-    LONGEST_SECONDS,
+    MAX_RAMP_SECONDS,
+    DeadlineTooNear,
     MoveRow,
-    TooNear,
     begin_move,
     compute_share,
     find_stage,
-    finish,
-    take_back,
+    finish_move,
+    roll_back,
 )
 from lagoonpost.tables.entity import Move
 
@@ -130,7 +130,7 @@
     def __init__(self, case: Case, ticket: int) -> None:
         self.case = case
         move = Move("booking", "v1", "v2", case.seconds, ticket)
-        self.row: MoveRow | TooNear = begin_move(move, 0.0)
+        self.row: MoveRow | DeadlineTooNear = begin_move(move, 0.0)
         questions = [(r, q) for r in ROUTES for q in QUESTIONS]
         self.evidence = dict.fromkeys(questions, Evidence())
         self.intervals = case.seconds / INTERVAL_SECONDS
@@ -139,7 +139,7 @@
     def step(self, now: float, rng: np.random.Generator) -> None:
         """Play the interval that ends at ``now``."""
         row = self.row
-        if isinstance(row, TooNear) or row.outcome != "moving":
+        if isinstance(row, DeadlineTooNear) or row.outcome != "moving":
             return
         # What the last interval showed has spread by the end of this one.
         worse = [
@@ -149,14 +149,14 @@
         ]
         self._run(row, now, rng)
         if worse:
-            self.row = take_back(row, worse[0], now)
+            self.row = roll_back(row, worse[0], now)
             return
-        self.row = finish(row, now)
+        self.row = finish_move(row, now)
 
     def get_result(self) -> Result:
         """Return how the move ended."""
         traffic = self.case.rate * self.case.seconds
-        if isinstance(self.row, TooNear):
+        if isinstance(self.row, DeadlineTooNear):
             return Result("too_near", 0.0, self.harmed, traffic)
         row = self.row
         return Result(row.outcome, row.ended, self.harmed, traffic)
@@ -175,7 +175,7 @@
         for place, key in enumerate(self.evidence):
             route, question = divmod(place, len(QUESTIONS))
             ratios = [
-                weigh(
+                compute_log_ratios(
                     Counts(
                         float(shares[0, 0, gateway]),
                         int(bad[question, route, 0, gateway]),
@@ -205,9 +205,9 @@
 def _list_stage_shares(ticket: int, stage: int) -> Array:
     # The same shares for all moves with one ticket number, as its few first
     # gateways depend on it alone.
-    row = begin_move(Move("", "", "", LONGEST_SECONDS, ticket), 0.0)
+    row = begin_move(Move("", "", "", MAX_RAMP_SECONDS, ticket), 0.0)
     assert isinstance(row, MoveRow)
-    times = np.arange(0.0, LONGEST_SECONDS, 10.0)
+    times = np.arange(0.0, MAX_RAMP_SECONDS, 10.0)
     now = next(time for time in times if find_stage(row, time) == stage)
     new = np.array(
         [compute_share(row, name, GATEWAYS, now, now) for name in GATEWAYS]
--- a/bench/player.py
+++ b/bench/player.py
@@ -19,7 +19,7 @@
     Job,
     Outcome,
 )
-from lagoonpost.systems.backoff import outage_delay
+from lagoonpost.systems.backoff import compute_outage_delay
 from lagoonpost.systems.event import (
     Action,
     Arrived,
@@ -124,7 +124,7 @@
         if call.request_class == "booking" and self.store_down(self.now):
             # Without the ledger a booking can't be claimed.
             down = self.now - self.store_down_since
-            self._refuse(request_id, outage_delay(down, self.rng))
+            self._refuse(request_id, compute_outage_delay(down, self.rng))
             return
         target = TARGETS[call.request_class]
         request = RequestRow(
--- a/lagoonpost/cli/ticket.py
+++ b/lagoonpost/cli/ticket.py
@@ -21,7 +21,7 @@
 from lagoonpost.declarations.plan import list_changes
 from lagoonpost.http.client import CallFailedError
 from lagoonpost.http.message import Address, Response
-from lagoonpost.systems.ticket import find_near_deadlines
+from lagoonpost.systems.ticket import find_unreachable_deadlines
 from lagoonpost.tables.ticket import Faults, Ticket
 
 POLL_SECONDS = 0.2
@@ -210,7 +210,7 @@
         )
         raise click.exceptions.Exit(ExitCode.FAILED)
     # Said before the ticket is handed in, when its time can still be changed.
-    for warning in find_near_deadlines(loaded, time.time()):
+    for warning in find_unreachable_deadlines(loaded, time.time()):
         click.echo(f"warning: {warning}", err=True)
     return loaded
 
--- a/lagoonpost/forwarding/admission.py
+++ b/lagoonpost/forwarding/admission.py
@@ -16,7 +16,7 @@
 from lagoonpost.forwarding.shared import Shared
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.store.clock import read_clock
-from lagoonpost.systems.poison import BreakTable, make_fingerprint
+from lagoonpost.systems.poison import BrokenAnswerTable, make_fingerprint
 from lagoonpost.systems.quota import Quotas
 from lagoonpost.systems.route import choose_service
 from lagoonpost.tables.quota import QuotaBounds, count_units
@@ -50,7 +50,7 @@
     ) -> None:
         self._belief = belief
         self._rng = rng
-        self.breaks = BreakTable()
+        self.breaks = BrokenAnswerTable()
         self.quotas = Quotas(_find_quota_bounds(bounds), started)
 
     def set_bounds(self, bounds: Bounds) -> None:
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -34,7 +34,7 @@
 from lagoonpost.platform.store import PlatformStore
 from lagoonpost.store.clock import read_clock
 from lagoonpost.systems.hub import READER_WAIT_SECONDS
-from lagoonpost.systems.poison import Break
+from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.systems.route import RouteTable
 from lagoonpost.systems.shift import ExposureBounds
 from lagoonpost.tables.gateway_report import GatewayReport, Taken
@@ -344,7 +344,7 @@
                 waiting[service] = waiting.get(service, 0) + work.tokens
         return waiting
 
-    def _hear_break(self, seen: Break) -> None:
+    def _hear_break(self, seen: BrokenAnswer) -> None:
         self._front.admission.breaks.note(
             seen, asyncio.get_running_loop().time()
         )
--- a/lagoonpost/forwarding/front.py
+++ b/lagoonpost/forwarding/front.py
@@ -43,7 +43,7 @@
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.systems.budget import RetryBudget
 from lagoonpost.systems.placement import Choice, Placement
-from lagoonpost.systems.poison import Break
+from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.tables.saved_run import SavedRun
 
 MOST_SENDS = 4
@@ -205,7 +205,9 @@
         elif isinstance(outcome, Unreachable):
             self.admission.breaks.note_down(runner, exchange.now())
         elif isinstance(outcome, Broken):
-            seen = Break(exchange.fingerprint, runner, exchange.arrival.id)
+            seen = BrokenAnswer(
+                exchange.fingerprint, runner, exchange.arrival.id
+            )
             self.admission.breaks.note(seen, exchange.now())
             self.shared.publish_break(seen)
 
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -11,10 +11,10 @@
 from lagoonpost.forwarding.exchange import Exchange
 from lagoonpost.platform.memory import RunMemory
 from lagoonpost.systems.migration import (
-    Place,
+    Candidate,
     choose_target,
-    find_start,
-    is_worth_moving,
+    compute_migration_delay,
+    is_worth_migrating,
 )
 from lagoonpost.systems.placement import Choice, Placement
 from lagoonpost.tables.endpoint import Endpoint
@@ -147,13 +147,15 @@
     def _schedule(self, run: Run) -> None:
         exchange = run.exchange
         prompt = exchange.wanted.prompt
-        if run.task is None and is_worth_moving(exchange.idempotent, prompt):
+        if run.task is None and is_worth_migrating(
+            exchange.idempotent, prompt
+        ):
             run.task = asyncio.create_task(self._move(run))
 
     async def _move(self, run: Run) -> None:
         loop = asyncio.get_running_loop()
         gone = self._gone[run.choice.endpoint.id]
-        await asyncio.sleep(find_start(gone, loop.time()))
+        await asyncio.sleep(compute_migration_delay(gone, loop.time()))
         outcome = "no_target"
         for _ in range(MOST_TARGETS):
             target = self._choose(run)
@@ -182,7 +184,7 @@
             state = self._placement.state(each.id)
             running = state.requests + state.others.requests
             running += self._coming[each.id]
-            places.append(Place(each, running, state.is_suspect(now)))
+            places.append(Candidate(each, running, state.is_suspect(now)))
         return choose_target(places, run.choice.endpoint, self._rng)
 
     async def _move_to(self, run: Run, target: Endpoint) -> str:
--- a/lagoonpost/forwarding/shared.py
+++ b/lagoonpost/forwarding/shared.py
@@ -18,7 +18,7 @@
 from lagoonpost.platform.settings import Bounds, HostSettings
 from lagoonpost.store.store import Store, Unavailable, Write
 from lagoonpost.systems.hub import Roles, choose_roles, must_read
-from lagoonpost.systems.poison import Break
+from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
 from lagoonpost.tables.stamp import find_era
@@ -81,7 +81,7 @@
         settings: HostSettings,
         belief: Belief,
         party: Party,
-        on_break: Callable[[Break], None],
+        on_break: Callable[[BrokenAnswer], None],
         on_shift: Callable[[Fact], None],
         on_recorded: Callable[[str, float], None],
         on_era: Callable[[int], None],
@@ -211,7 +211,7 @@
         """Tell others which configuration is in force here."""
         self.peers.publish(Fact("configuration", "", self._belief.version))
 
-    def publish_break(self, seen: Break) -> None:
+    def publish_break(self, seen: BrokenAnswer) -> None:
         """Tell others of an answer that broke off."""
         key = f"{seen.fingerprint}/{seen.runner}/{seen.attempt}"
         body = msgspec.msgpack.encode(seen)
@@ -250,7 +250,7 @@
         self._belief.take_entry(fact.key, fact.rank, raw, "peer")
 
     def _learn_break(self, fact: Fact) -> None:
-        self._on_break(msgspec.msgpack.decode(fact.body, type=Break))
+        self._on_break(msgspec.msgpack.decode(fact.body, type=BrokenAnswer))
 
     def _learn_shift(self, fact: Fact) -> None:
         self._on_shift(fact)
--- a/lagoonpost/forwarding/shifts.py
+++ b/lagoonpost/forwarding/shifts.py
@@ -19,10 +19,10 @@
 from lagoonpost.store.clock import read_clock
 from lagoonpost.store.store import Committed, Unavailable
 from lagoonpost.systems.shift import (
-    TRIAL_SHARE,
+    MAX_TRIAL_SHARE,
     Exposure,
     ExposureBounds,
-    ShiftJudge,
+    ShiftEvaluator,
 )
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.fact import Fact
@@ -65,7 +65,7 @@
         self.phase: Phase = "trial"
         self.exposure = Exposure()
         self.counts: Counts = {}
-        self.judge = ShiftJudge(order, read_clock())
+        self.judge = ShiftEvaluator(order, read_clock())
         self.told: Phase | None = None
 
     @property
@@ -127,7 +127,7 @@
         # An order past its time gains nothing by it, and by one wrong clock
         # a version would get all requests before it was tried.
         if 0 <= age <= shift.order.seconds:
-            shift.judge.note_start(read_clock() - age)
+            shift.judge.merge_start(read_clock() - age)
 
     def _take(self, order: ShiftOrder, phase: Phase, source: str) -> bool:
         """Take what is newer; tell whether it was."""
@@ -146,7 +146,7 @@
             return False
         held.phase = phase
         if phase == "all":
-            held.judge.note_all(read_clock())
+            held.judge.mark_all_new(read_clock())
         eliot.log_message(
             message_type="lagoonpost:shift:phase",
             source=source,
@@ -197,8 +197,12 @@
                 return old
             case "all":
                 return new or old
-        tries = self._rng.random() < TRIAL_SHARE or not old
-        if new and tries and shift.exposure.may_try(self._bounds, gateways):
+        tries = self._rng.random() < MAX_TRIAL_SHARE or not old
+        if (
+            new
+            and tries
+            and shift.exposure.allows_trial(self._bounds, gateways)
+        ):
             return new
         return old
 
@@ -206,7 +210,7 @@
         """Count a request that goes to a runner."""
         shift = self._shifts.get(endpoint.service)
         if shift is not None:
-            shift.exposure.note_sent(endpoint.version == shift.order.to)
+            shift.exposure.record_sent(endpoint.version == shift.order.to)
 
     def note_answer(
         self, endpoint: Endpoint, route: str, failed: bool, slow: bool
@@ -268,7 +272,7 @@
         """
         held = list(reports)
         for shift in self._shifts.values():
-            if shift.judge.may_watch(read_clock()):
+            if shift.judge.may_roll_back(read_clock()):
                 self._judge(shift, held, BAD)
 
     def pass_on(self) -> None:
--- a/lagoonpost/gateway/booking.py
+++ b/lagoonpost/gateway/booking.py
@@ -13,7 +13,7 @@
 from lagoonpost.http.message import Headers, Response, parse_address
 from lagoonpost.runners.plain import call_once
 from lagoonpost.store.ledger import PREFIX, Ledger
-from lagoonpost.systems.backoff import outage_delay
+from lagoonpost.systems.backoff import compute_outage_delay
 from lagoonpost.systems.booking import (
     Answered,
     Chosen,
@@ -93,7 +93,7 @@
             return outcome
         # All bookings of an outage would come back in the same second, and
         # the store, just back, would go down under them again.
-        delay = outage_delay(self._ledger.count_outage(), self._rng)
+        delay = compute_outage_delay(self._ledger.count_outage(), self._rng)
         return STORE_DOWN._replace(retry_after=delay)
 
     async def close(self, grace: float) -> None:
--- a/lagoonpost/gateway/moves.py
+++ b/lagoonpost/gateway/moves.py
@@ -12,11 +12,11 @@
 from lagoonpost.store.store import Condition, Store, Unavailable, Write
 from lagoonpost.systems.event import Declared
 from lagoonpost.systems.move import (
+    DeadlineTooNear,
     MoveRow,
-    TooNear,
     begin_move,
     compute_share,
-    finish,
+    finish_move,
 )
 from lagoonpost.systems.rollout import Outcome, Report, Rollout
 from lagoonpost.tables.entity import Declaration, Move, Runner
@@ -135,7 +135,7 @@
         """Count how an attempt of a request went."""
         outcome = Outcome(row.route, runner.version, share, failed, slow)
         for rollout in self._find(row.service):
-            rollout.note(outcome, time.time())
+            rollout.record(outcome, time.time())
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the moves for operators."""
@@ -187,12 +187,12 @@
         routes = len(service.routes) if service else 1
         self._rollouts[key] = Rollout(row, routes)
         for report in self._reports.pop(key, ()):
-            self._rollouts[key].hear(report)
+            self._rollouts[key].add_report(report)
         self._log(row)
 
     def _make_row(self, move: Move, now: float) -> MoveRow:
         begun = begin_move(move, now)
-        if not isinstance(begun, TooNear):
+        if not isinstance(begun, DeadlineTooNear):
             return begun
         reason = f"too near; the earliest time is {begun.earliest:.0f}"
         return MoveRow(move, now, now, "taken_back", reason, now)
@@ -202,21 +202,21 @@
         if rollout.row.outcome != "moving":
             return
         name = self._gateway.settings.name
-        for report in rollout.close(name, now):
+        for report in rollout.close_intervals(name, now):
             fact_key = f"{key}/{report.interval}/{name}"
             body = msgspec.msgpack.encode(report)
             end = now + EVIDENCE_SECONDS
             self._publish(Fact("move_evidence", fact_key, 1, body, end))
-        if rollout.judge(now):
+        if rollout.evaluate(now):
             self._trip(key, rollout.describe_evidence(), now)
         elif not self._has_runner(rollout.row.move):
             self._trip(key, "no runner serves the new version", now)
-        elif finish(rollout.row, now) != rollout.row:
-            rollout.row = finish(rollout.row, now)
+        elif finish_move(rollout.row, now) != rollout.row:
+            rollout.row = finish_move(rollout.row, now)
             self._log(rollout.row)
 
     def _trip(self, key: str, reason: str, now: float) -> None:
-        row = self._rollouts[key].trip(reason, now)
+        row = self._rollouts[key].roll_back(reason, now)
         body = msgspec.msgpack.encode(row)
         self._publish(Fact("version_tripped", key, 1, body))
         self._log(row)
@@ -250,7 +250,7 @@
         service, ticket, _ = fact.key.split("/", 2)
         key = f"{service}/{ticket}"
         if key in self._rollouts:
-            self._rollouts[key].hear(report)
+            self._rollouts[key].add_report(report)
         else:
             self._reports.setdefault(key, []).append(report)
 
--- a/lagoonpost/gateway/peering.py
+++ b/lagoonpost/gateway/peering.py
@@ -15,7 +15,7 @@
 from lagoonpost.peers.node import Peers, PeerSettings
 from lagoonpost.settings import GatewaySettings
 from lagoonpost.store.watch import PEER_SECONDS, Watch
-from lagoonpost.systems.event import Peered
+from lagoonpost.systems.event import GatewaysChanged
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
 from lagoonpost.tables.ticket import Snapshot, TicketRecord
@@ -184,4 +184,4 @@
 
     def _learn_members(self, members: Sequence[Member]) -> None:
         count = max(1, len(self.list_entries()))
-        self._gateway.dispatcher.notify(Peered(count))
+        self._gateway.dispatcher.notify(GatewaysChanged(count))
--- a/lagoonpost/gateway/quarantine.py
+++ b/lagoonpost/gateway/quarantine.py
@@ -68,7 +68,7 @@
         if case is None or not case.is_suspect(row.fingerprint):
             return
         now = time.time()
-        case.clear(row.fingerprint, now)
+        case.record_completion(row.fingerprint, now)
         key = f"{row.service}/{row.fingerprint}"
         rank = int(now * 1000)
         end = now + KEEP_SECONDS
@@ -82,9 +82,9 @@
         if fact.kind == "crash_seen":
             case.add(msgspec.msgpack.decode(fact.body, type=Loss))
         elif fact.rank == _CONVICTED:
-            case.refuse(fingerprint)
+            case.record_conviction(fingerprint)
         else:
-            case.clear(fingerprint, fact.rank / 1000)
+            case.record_completion(fingerprint, fact.rank / 1000)
         self._apply(service)
 
     def _find_case(self, service: str) -> Quarantine:
@@ -101,14 +101,14 @@
     def _apply(self, service: str) -> None:
         """Tell the decisions which verdicts have changed."""
         case = self._cases[service]
-        case.forget(time.time() - KEEP_SECONDS)
+        case.expire(time.time() - KEEP_SECONDS)
         serving = {
             version.name
             for version in self._gateway.declaration.versions
             if version.service == service and version.share > 0
         }
         before = self._verdicts.get(service, {})
-        after = dict[str, str](case.judge(serving))
+        after = dict[str, str](case.compute_verdicts(serving))
         for fingerprint in before.keys() | after.keys():
             if after.get(fingerprint) != "refused":
                 self._accused.pop(fingerprint, None)
@@ -119,7 +119,12 @@
             verdict = after.get(fingerprint, "free")
             if verdict == before.get(fingerprint, "free"):
                 continue
-            self._tell(service, fingerprint, verdict, case.avoid(fingerprint))
+            self._tell(
+                service,
+                fingerprint,
+                verdict,
+                case.find_versions_to_avoid(fingerprint),
+            )
 
     def _stands(self, service: str, fingerprint: str) -> bool:
         """Tell whether a conviction is old enough to be pronounced.
@@ -130,7 +135,7 @@
         """
         if self._verdicts.get(service, {}).get(fingerprint) == "refused":
             return True
-        if self._cases[service].is_refused(fingerprint):
+        if self._cases[service].is_convicted(fingerprint):
             return True
         loop = asyncio.get_running_loop()
         since = self._accused.get(fingerprint)
@@ -158,7 +163,7 @@
         )
         if verdict == "refused":
             self._accused.pop(fingerprint, None)
-            self._cases[service].refuse(fingerprint)
+            self._cases[service].record_conviction(fingerprint)
             key = f"{service}/{fingerprint}"
             self._publish(Fact("poison_verdict", key, _CONVICTED))
             self._give_up(fingerprint)
--- a/lagoonpost/gateway/tickets.py
+++ b/lagoonpost/gateway/tickets.py
@@ -18,7 +18,7 @@
 from lagoonpost.store.store import Unavailable
 from lagoonpost.store.ticket import Intake
 from lagoonpost.store.watch import Watch
-from lagoonpost.systems.ticket import find_near_deadlines
+from lagoonpost.systems.ticket import find_unreachable_deadlines
 from lagoonpost.tables.ticket import (
     Accepted,
     Fault,
@@ -92,7 +92,7 @@
         if isinstance(outcome, Accepted):
             self._watch.take(outcome.record)
             self._publish(outcome.record)
-            near = find_near_deadlines(ticket, self._clock())
+            near = find_unreachable_deadlines(ticket, self._clock())
             return _accept(outcome.record, near)
         return _answer(outcome)
 
--- a/lagoonpost/runners/answer.py
+++ b/lagoonpost/runners/answer.py
@@ -25,7 +25,7 @@
 from lagoonpost.runners.kv import KvMover
 from lagoonpost.runners.reading import Reading
 from lagoonpost.systems import relay_event as ev
-from lagoonpost.systems.evacuation import Evacuee
+from lagoonpost.systems.evacuation import PendingTransfer
 from lagoonpost.systems.event import Refuse
 from lagoonpost.systems.relay import Phase, Relay, step
 from lagoonpost.systems.relay_event import Execution, FailureKind
@@ -294,7 +294,9 @@
     async def _export(self, action: ev.Export) -> None:
         relay = self._relay
         size = self._order.prompt_tokens + len(relay.tokens)
-        evacuee = Evacuee(self._order.request_id, size, action.deadline)
+        evacuee = PendingTransfer(
+            self._order.request_id, size, action.deadline
+        )
         moved = await self._mover.move(evacuee, action.source, action.target)
         self._log("exported" if moved else "not_exported", action.source, "")
         self._post(ev.Exported(action.attempt))
--- a/lagoonpost/runners/kv.py
+++ b/lagoonpost/runners/kv.py
@@ -7,7 +7,11 @@
 
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import parse_address
-from lagoonpost.systems.evacuation import Evacuee, Link, choose_next
+from lagoonpost.systems.evacuation import (
+    LinkEstimate,
+    PendingTransfer,
+    choose_next,
+)
 from lagoonpost.tables.entity import Runner
 
 # Weight of the newest export in the measured rate of a link.
@@ -15,7 +19,7 @@
 
 
 class _Job(NamedTuple):
-    evacuee: Evacuee
+    evacuee: PendingTransfer
     target: Runner
     done: asyncio.Future[bool]
 
@@ -34,11 +38,11 @@
     def __init__(self, client: Client) -> None:
         self._client = client
         self._jobs: dict[str, list[_Job]] = {}
-        self._links: dict[str, Link] = {}
+        self._links: dict[str, LinkEstimate] = {}
         self._workers: dict[str, asyncio.Task[None]] = {}
 
     async def move(
-        self, evacuee: Evacuee, source: Runner, target: Runner
+        self, evacuee: PendingTransfer, source: Runner, target: Runner
     ) -> bool:
         """Move one answer's KV cache and tell whether it is whole there.
 
@@ -68,7 +72,7 @@
 
     async def _run_next(self, source: Runner, jobs: list[_Job]) -> None:
         now = asyncio.get_running_loop().time()
-        link = self._links.get(source.name, Link())
+        link = self._links.get(source.name, LinkEstimate())
         waiting = [job.evacuee for job in jobs if not job.done.done()]
         chosen = choose_next(waiting, link, now)
         if chosen is None:
@@ -107,8 +111,8 @@
             return False
         tokens = msgspec.json.decode(imported.body, type=_Imported).tokens
         seconds = loop.time() - started
-        link = self._links.get(source.name, Link())
-        self._links[source.name] = link.learn(
+        link = self._links.get(source.name, LinkEstimate())
+        self._links[source.name] = link.add_sample(
             len(exported.body), tokens, seconds, RATE_WEIGHT
         )
         return True
--- a/lagoonpost/runners/reading.py
+++ b/lagoonpost/runners/reading.py
@@ -7,8 +7,8 @@
 from lagoonpost.runners.engine import Refusal
 from lagoonpost.runners.sse import Closing, EventReader, Tokens
 from lagoonpost.systems.relay import (
-    FIRST_SILENCE,
-    SILENCE_FLOOR,
+    FIRST_TOKEN_SILENCE_SECONDS,
+    MIN_SILENCE_SECONDS,
     silence_limit,
 )
 from lagoonpost.systems.relay_event import (
@@ -93,7 +93,9 @@
 
     async def _run(self, opening: Awaitable[Stream | Refusal]) -> None:
         attempt = self._attempt
-        patience = PROBE_SECONDS if self._probing else FIRST_SILENCE
+        patience = (
+            PROBE_SECONDS if self._probing else FIRST_TOKEN_SILENCE_SECONDS
+        )
         try:
             async with asyncio.timeout(patience):
                 answer = await opening
@@ -158,7 +160,9 @@
         self._count += tokens
 
     def _arm(self, stream: Stream) -> None:
-        self._timer = self._loop.call_later(SILENCE_FLOOR, self._check, stream)
+        self._timer = self._loop.call_later(
+            MIN_SILENCE_SECONDS, self._check, stream
+        )
 
     def _limit(self) -> float:
         return silence_limit(self.mean_gap, self._count > 0, self._probing)
@@ -175,7 +179,7 @@
         if left > 0:
             # The limit falls from seconds to the floor with the first
             # token, so a timer set for the old limit would come too late.
-            left = min(left, SILENCE_FLOOR)
+            left = min(left, MIN_SILENCE_SECONDS)
             self._timer = self._loop.call_later(left, self._check, stream)
             return
         self._silent = True
--- a/lagoonpost/store/ticket.py
+++ b/lagoonpost/store/ticket.py
@@ -30,7 +30,7 @@
     Unavailable,
     Write,
 )
-from lagoonpost.systems.ticket import Proceed, judge
+from lagoonpost.systems.ticket import Committable, evaluate_ticket
 from lagoonpost.tables.ticket import (
     Accepted,
     Refused,
@@ -123,7 +123,9 @@
                 detail = reading.detail
                 continue
             doubt.clear(reading.head.version)
-            verdict = judge(ticket, digest, reading.snapshot, reading.held)
+            verdict = evaluate_ticket(
+                ticket, digest, reading.snapshot, reading.held
+            )
             if isinstance(verdict, Accepted | Refused):
                 return verdict
             detail = await self._commit(
@@ -139,13 +141,13 @@
         digest: str,
         operator: str,
         reading: Reading,
-        verdict: Proceed,
+        verdict: Committable,
         doubt: "_Doubt",
     ) -> str:
         """Write once; the next reading tells whether it took effect."""
         record = TicketRecord(
             number=ticket.number,
-            revision=verdict.after.revision,
+            revision=verdict.snapshot.revision,
             digest=digest,
             reason=ticket.reason,
             operator=operator,
--- a/lagoonpost/systems/admission.py
+++ b/lagoonpost/systems/admission.py
@@ -21,7 +21,7 @@
 import math
 from random import Random
 
-from lagoonpost.systems.backoff import spread_delay
+from lagoonpost.systems.backoff import add_jitter
 from lagoonpost.systems.cost import count_tokens
 from lagoonpost.systems.event import Refuse
 from lagoonpost.systems.headroom import is_protected, protected_room
@@ -77,7 +77,7 @@
     """
     if not pool.loads:
         return Refuse(
-            request.id, NO_CAPACITY, "no_runner", spread_delay(1.0, rng)
+            request.id, NO_CAPACITY, "no_runner", add_jitter(1.0, rng)
         )
     cost = count_tokens(request)
     queue = pool.queues[request.request_class]
@@ -103,7 +103,7 @@
     if not idle and now + longest + first > request.deadline:
         delay = pool.promises.add(cost, ahead, drain, now)
         status, reason = _blame(queue, request.workspace)
-        return Refuse(request.id, status, reason, spread_delay(delay, rng))
+        return Refuse(request.id, status, reason, add_jitter(delay, rng))
     latest = max(request.deadline - first, now)
     return Waiting(request, cost, start, latest, now, wait)
 
--- a/lagoonpost/systems/attempt.py
+++ b/lagoonpost/systems/attempt.py
@@ -16,7 +16,7 @@
 
 from random import Random
 
-from lagoonpost.systems.backoff import back_off, spread_delay
+from lagoonpost.systems.backoff import add_jitter, compute_backoff
 from lagoonpost.systems.cost import PREFILL_RATIO
 from lagoonpost.systems.dispatch import forget, land
 from lagoonpost.systems.ejection import record_failure, record_outcome
@@ -111,7 +111,7 @@
         return [Refuse(request.id, FAILED, "may_have_run", None)]
     if event.kind == "failed" and not pool.budget.spend():
         forget(pool, request.id)
-        delay = spread_delay(FAILED_RETRY_SECONDS, rng)
+        delay = add_jitter(FAILED_RETRY_SECONDS, rng)
         return [Refuse(request.id, FAILED, "retry_budget", delay)]
     _retry(pool, request, event, flight, now, rng)
     return []
@@ -131,7 +131,7 @@
     accepted = begun or event.kind in ("lost", "silent", "unreached")
     delay = 0.0
     if not accepted:
-        delay = back_off(len(tried), REFUSED_BASE_SECONDS, rng)
+        delay = compute_backoff(len(tried), REFUSED_BASE_SECONDS, rng)
     version = flight.version if flight else ""
     pool.moved[request.id] = Moved(request, version, accepted, now + delay)
 
--- a/lagoonpost/systems/backoff.py
+++ b/lagoonpost/systems/backoff.py
@@ -19,21 +19,21 @@
 from dataclasses import dataclass
 from random import Random
 
-RETRY_LEAST = 0.5
-RETRY_CAP = 30.0
-SPREAD = 0.5
-OUTAGE_LEAST = 1.0
-EARN = 0.1
-BURST = 16.0
+MIN_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 30.0
+JITTER_SHARE = 0.5
+MIN_OUTAGE_SECONDS = 1.0
+TOKENS_PER_ATTEMPT = 0.1
+MAX_RETRY_TOKENS = 16.0
 
 
-def spread_delay(seconds: float, rng: Random) -> float:
+def add_jitter(seconds: float, rng: Random) -> float:
     """Return a delay in seconds, clipped and spread by jitter."""
-    delay = min(max(seconds, RETRY_LEAST), RETRY_CAP)
-    return delay * (1.0 + SPREAD * rng.random())
+    delay = min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
+    return delay * (1.0 + JITTER_SHARE * rng.random())
 
 
-def outage_delay(elapsed: float, rng: Random) -> float:
+def compute_outage_delay(elapsed: float, rng: Random) -> float:
     """Return when to come back from an outage of unknown end.
 
     What has lasted long lasts on: the rest is taken to be as long as what
@@ -47,10 +47,10 @@
     Returns:
         Seconds.
     """
-    return spread_delay(max(elapsed, OUTAGE_LEAST), rng)
+    return add_jitter(max(elapsed, MIN_OUTAGE_SECONDS), rng)
 
 
-def back_off(attempt: int, base: float, rng: Random) -> float:
+def compute_backoff(attempt: int, base: float, rng: Random) -> float:
     """Return a delay in seconds before a retry, doubling with full jitter.
 
     Args:
@@ -61,12 +61,12 @@
     Returns:
         Seconds.
     """
-    most = min(base * 2 ** (min(attempt, 16) - 1), RETRY_CAP)
+    most = min(base * 2 ** (min(attempt, 16) - 1), MAX_RETRY_SECONDS)
     return rng.uniform(0.0, most)
 
 
 @dataclass(slots=True)
-class Promises:
+class ReturnQueue:
     """Work of refused callers that were told to come back."""
 
     tokens: float = 0.0
@@ -91,7 +91,7 @@
         self.updated = now
         delay = (ahead + self.tokens) / drain
         # Promises beyond the cap are not kept, so they are not counted.
-        self.tokens = min(self.tokens + cost, drain * RETRY_CAP)
+        self.tokens = min(self.tokens + cost, drain * MAX_RETRY_SECONDS)
         return delay
 
 
@@ -99,11 +99,11 @@
 class RetryBudget:
     """Token bucket that bounds retries by first attempts."""
 
-    tokens: float = BURST
+    tokens: float = MAX_RETRY_TOKENS
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self.tokens = min(BURST, self.tokens + EARN)
+        self.tokens = min(MAX_RETRY_TOKENS, self.tokens + TOKENS_PER_ATTEMPT)
 
     def spend(self) -> bool:
         """Pay for one retry; False if the budget is used up."""
--- a/lagoonpost/systems/dispatch.py
+++ b/lagoonpost/systems/dispatch.py
@@ -4,9 +4,9 @@
 
 from lagoonpost.systems.admission import learn_wait
 from lagoonpost.systems.affinity import decay_work
-from lagoonpost.systems.backoff import spread_delay
+from lagoonpost.systems.backoff import add_jitter
 from lagoonpost.systems.cost import count_tokens
-from lagoonpost.systems.ejection import count_probe, find_probe
+from lagoonpost.systems.ejection import find_probe, schedule_next_probe
 from lagoonpost.systems.event import Action, Dispatch, Refuse
 from lagoonpost.systems.headroom import is_protected, protected_room
 from lagoonpost.systems.pool import Moved, Pool
@@ -75,7 +75,7 @@
         reason = _timed_out(pool, moved, now)
         if reason:
             forget(pool, moved.request.id)
-            delay = spread_delay(1.0, rng)
+            delay = add_jitter(1.0, rng)
             actions.append(Refuse(moved.request.id, 503, reason, delay))
     return actions
 
@@ -171,7 +171,7 @@
         for version, loads in pool.versions.items():
             load = find_probe(pool, loads, tried, now)
             if load is not None and pool.shares.get(version, 1.0) > 0:
-                count_probe(pool, load.health, now)
+                schedule_next_probe(pool, load.health, now)
                 return Choice(load, "probe", (load.runner.name,))
     return choose_runner(pool, request, now, rng, None, protected)
 
@@ -263,7 +263,7 @@
     ahead = queue.ahead(request.workspace)
     drain = pool.drain(pool.routes.get(request.route))
     delay = pool.promises.add(entry.cost, ahead, drain, now)
-    return Refuse(request.id, 503, "late", spread_delay(delay, rng))
+    return Refuse(request.id, 503, "late", add_jitter(delay, rng))
 
 
 def _timed_out(pool: Pool, moved: Moved, now: float) -> str | None:
--- a/lagoonpost/systems/ejection.py
+++ b/lagoonpost/systems/ejection.py
@@ -46,23 +46,23 @@
 from lagoonpost.tables.health import Health
 from lagoonpost.tables.load import RunnerLoad
 
-RATIO = 3.0
-GAIN = 0.4
-MOST_EJECTED = 1 / 3
-PROBE_FIRST = 1.0
-PROBE_LAST = 4.0
-PROBE_EVERY = 50
-GROW_SECONDS = 0.5
+SLOW_RATIO = 3.0
+SCORE_GAIN = 0.4
+MAX_EJECTED_SHARE = 1 / 3
+MIN_PROBE_SECONDS = 1.0
+MAX_PROBE_SECONDS = 4.0
+REQUESTS_PER_PROBE = 50
+LIMIT_STEP_SECONDS = 0.5
 # An error or a cut connection counts as an answer this much too slow.
 FAILURE_RATIO = 10.0
 # Evidence from one answer is clipped, so that one stuck request isn't all.
-RATIO_MOST = 10.0
-OVERDUE_LOOKED_AT = 4
-LOST_MOST = 2
-LOST_KINDS = frozenset({"lost", "unreached"})
+MAX_RATIO = 10.0
+MAX_OVERDUE_CHECKED = 4
+LOST_CONNECTIONS_TO_EJECT = 2
+CONNECTION_FAILURES = frozenset({"lost", "unreached"})
 PACE_SECONDS = 0.5
-PACE_LEAST = 3
-PACE_TOKENS = 10
+MIN_PACE_RUNNERS = 3
+MIN_PACE_TOKENS = 10
 
 
 def record_outcome(
@@ -81,13 +81,13 @@
     if sent < health.since and health.state != "healthy":
         # Sent before the runner was ejected: old news.
         return
-    seen = math.log(min(max(ratio, 1 / RATIO_MOST), RATIO_MOST))
-    if ratio < RATIO:
+    seen = math.log(min(max(ratio, 1 / MAX_RATIO), MAX_RATIO))
+    if ratio < SLOW_RATIO:
         health.lost = 0
     if health.state == "healthy":
-        health.score += GAIN * (seen - health.score)
+        health.score += SCORE_GAIN * (seen - health.score)
         return
-    if seen > math.log(RATIO):
+    if seen > math.log(SLOW_RATIO):
         _eject(health, load.own, now)
     elif health.state == "ejected":
         health.state = "returning"
@@ -103,10 +103,10 @@
     """Take in a failed attempt; lost connections eject at once."""
     health = load.health
     record_outcome(pool, load, FAILURE_RATIO, sent, now)
-    if kind not in LOST_KINDS:
+    if kind not in CONNECTION_FAILURES:
         return
     health.lost += 1
-    if health.lost >= LOST_MOST and health.state == "healthy":
+    if health.lost >= LOST_CONNECTIONS_TO_EJECT and health.state == "healthy":
         _eject(health, load.own, now)
         pool.count_slots()
 
@@ -126,18 +126,18 @@
             seen[load.runner.name] = (load.tokens, spent)
         load.streams = streams
         load.tokens = 0
-    if len(seen) < PACE_LEAST:
+    if len(seen) < MIN_PACE_RUNNERS:
         return
     middle = median(tokens / spent for tokens, spent in seen.values())
     for name, (tokens, spent) in seen.items():
         expected = middle * spent
-        if expected < PACE_TOKENS:
+        if expected < MIN_PACE_TOKENS:
             continue
         load = pool.loads[name]
-        ratio = min(expected / max(tokens, 1), RATIO_MOST)
+        ratio = min(expected / max(tokens, 1), MAX_RATIO)
         # Streams that an ejected runner still has are no new evidence
         # against it, but show when it has recovered.
-        if load.health.state != "ejected" or ratio < RATIO:
+        if load.health.state != "ejected" or ratio < SLOW_RATIO:
             record_outcome(pool, load, ratio, now, now)
 
 
@@ -153,7 +153,7 @@
     """
     loads = list(pool.loads.values())
     out = sum(load.health.state == "ejected" for load in loads)
-    room = max(1, int(len(loads) * MOST_EJECTED)) - out
+    room = max(1, int(len(loads) * MAX_EJECTED_SHARE)) - out
     if room <= 0 or len(loads) < 2:
         return []
     scores = {load.runner.name: _score(pool, load, now) for load in loads}
@@ -162,7 +162,7 @@
         load
         for load in loads
         if load.health.state != "ejected"
-        and scores[load.runner.name] > middle + math.log(RATIO)
+        and scores[load.runner.name] > middle + math.log(SLOW_RATIO)
     ]
     slow.sort(key=lambda load: -scores[load.runner.name])
     for load in slow[:room]:
@@ -186,25 +186,25 @@
     return None
 
 
-def count_probe(pool: Pool, health: Health, now: float) -> None:
+def schedule_next_probe(pool: Pool, health: Health, now: float) -> None:
     """Note that a probe was sent, and when the next one is due."""
-    health.probe_wait = min(health.probe_wait * 2, PROBE_LAST)
+    health.probe_wait = min(health.probe_wait * 2, MAX_PROBE_SECONDS)
     health.probe_at = now + health.probe_wait
-    health.probe_from = pool.sent + PROBE_EVERY
+    health.probe_from = pool.sent + REQUESTS_PER_PROBE
 
 
 def _score(pool: Pool, load: RunnerLoad, now: float) -> float:
     # A slow runner shows its slowness by what does not come: overdue
     # requests count as answers of their present age.
     score = load.health.score
-    for request_id in list(load.awaiting)[:OVERDUE_LOOKED_AT]:
+    for request_id in list(load.awaiting)[:MAX_OVERDUE_CHECKED]:
         flight = pool.flights[request_id]
         if flight.expected <= 0 or flight.dispatched < load.health.since:
             continue
         ratio = (now - flight.dispatched) / flight.expected
-        if ratio > RATIO:
-            seen = math.log(min(ratio, RATIO_MOST))
-            score += GAIN * (seen - score)
+        if ratio > SLOW_RATIO:
+            seen = math.log(min(ratio, MAX_RATIO))
+            score += SCORE_GAIN * (seen - score)
     return score
 
 
@@ -217,15 +217,15 @@
     health.score = 0.0
     health.since = now
     if not again:
-        health.probe_wait = PROBE_FIRST / 2
-        health.probe_at = now + PROBE_FIRST
+        health.probe_wait = MIN_PROBE_SECONDS / 2
+        health.probe_at = now + MIN_PROBE_SECONDS
 
 
 def _raise_limit(health: Health, slots: int, now: float) -> None:
     if health.limit < health.ceiling:
         health.limit = min(health.limit * 2, health.ceiling)
         health.since = now
-    elif now - health.since >= GROW_SECONDS:
+    elif now - health.since >= LIMIT_STEP_SECONDS:
         health.limit += 1
         health.since = now
     if health.limit >= slots:
--- a/lagoonpost/systems/evacuation.py
+++ b/lagoonpost/systems/evacuation.py
@@ -19,10 +19,10 @@
 
 # Below this a transfer does not pay: 64 tokens prefill in 13 ms at 5 000
 # tokens a second, which two more HTTP calls take as well.
-LEAST_TOKENS = 64
+MIN_TOKENS = 64
 
 
-class Evacuee(NamedTuple):
+class PendingTransfer(NamedTuple):
     """An answer that has to leave its runner.
 
     Attributes:
@@ -37,7 +37,7 @@
     deadline: float
 
 
-class Link(NamedTuple):
+class LinkEstimate(NamedTuple):
     """What was measured of transfers from one runner.
 
     Attributes:
@@ -51,9 +51,9 @@
     bytes_per_second: float = 0.0
     call_seconds: float = 0.01
 
-    def learn(
+    def add_sample(
         self, size: int, tokens: int, seconds: float, weight: float
-    ) -> "Link":
+    ) -> "LinkEstimate":
         """Return the link with one more transfer taken into account."""
         per_token = size / max(1, tokens)
         busy = max(seconds - self.call_seconds, seconds / 2, 1e-6)
@@ -63,7 +63,7 @@
         return self._replace(bytes_per_token=per_token, bytes_per_second=rate)
 
 
-def estimate_seconds(tokens: int, link: Link) -> float:
+def estimate_seconds(tokens: int, link: LinkEstimate) -> float:
     """Return how long a transfer takes; the fixed time while unmeasured."""
     if not link.bytes_per_second:
         return link.call_seconds
@@ -72,13 +72,13 @@
 
 
 def choose_next(
-    waiting: Sequence[Evacuee], link: Link, now: float
-) -> Evacuee | None:
+    waiting: Sequence[PendingTransfer], link: LinkEstimate, now: float
+) -> PendingTransfer | None:
     """Return whose cache to move next, or None if none is worth it."""
     best = None
     best_value = 0.0
     for evacuee in waiting:
-        if evacuee.tokens < LEAST_TOKENS:
+        if evacuee.tokens < MIN_TOKENS:
             continue
         seconds = estimate_seconds(evacuee.tokens, link)
         if now + seconds > evacuee.deadline:
--- a/lagoonpost/systems/event.py
+++ b/lagoonpost/systems/event.py
@@ -108,7 +108,7 @@
     avoid: frozenset[str] = frozenset()
 
 
-class Peered(NamedTuple):
+class GatewaysChanged(NamedTuple):
     """The number of gateways that are serving changed."""
 
     gateways: int
@@ -131,7 +131,7 @@
     | Abandoned
     | Leaving
     | Quarantined
-    | Peered
+    | GatewaysChanged
     | Tick
 )
 
--- a/lagoonpost/systems/evidence.py
+++ b/lagoonpost/systems/evidence.py
@@ -29,15 +29,15 @@
 from math import exp, inf, log
 from typing import NamedTuple
 
-FALSE_TRIPS = 0.005
+FALSE_ROLLBACK_PROBABILITY = 0.005
 """Good versions taken back by chance, over all routes and both questions.
 
 The users allow 1 in 100; half is kept for gateways that see the gossiped
 intervals in another order and so compute slightly different sums.
 """
-TOLERABLE = 1.5
+TOLERABLE_RISK_RATIO = 1.5
 """Risk ratio that is not worth a take-back, such as of a cold cache."""
-WORSE = (4.0, 30.0)
+WORSE_RISK_RATIOS = (4.0, 30.0)
 """Risk ratios looked for: a slower version, and one that mostly fails.
 
 The mean of both sums is compared: whichever fits better costs ln 2 more.
@@ -64,7 +64,7 @@
 class Evidence(NamedTuple):
     """Logarithms of the sums, one for each of ``WORSE``."""
 
-    sums: tuple[float, ...] = (-inf,) * len(WORSE)
+    log_sums: tuple[float, ...] = (-inf,) * len(WORSE_RISK_RATIOS)
 
 
 def add_interval(
@@ -79,13 +79,13 @@
             of one start is its inverse.
     """
     start = -log(intervals)
-    totals = [0.0] * len(WORSE)
+    totals = [0.0] * len(WORSE_RISK_RATIOS)
     for gateway in ratios:
         totals = [sum(pair) for pair in zip(totals, gateway, strict=True)]
     return Evidence(
         tuple(
             _add_logs(old, start) + total
-            for old, total in zip(evidence.sums, totals, strict=True)
+            for old, total in zip(evidence.log_sums, totals, strict=True)
         )
     )
 
@@ -97,22 +97,24 @@
         evidence: Evidence on one question.
         questions: Questions asked of the move: routes times two.
     """
-    return _average(evidence) >= log(questions / FALSE_TRIPS)
+    return _average(evidence) >= log(questions / FALSE_ROLLBACK_PROBABILITY)
 
 
 def _average(evidence: Evidence) -> float:
     total = -inf
-    for value in evidence.sums:
+    for value in evidence.log_sums:
         total = _add_logs(total, value)
-    return total - log(len(WORSE))
+    return total - log(len(WORSE_RISK_RATIOS))
 
 
-def weigh(counts: Counts) -> tuple[float, ...]:
+def compute_log_ratios(counts: Counts) -> tuple[float, ...]:
     """Return the log likelihood ratio of each of ``WORSE``."""
     if not 0 < counts.share < 1:
-        return (0.0,) * len(WORSE)
-    tolerable = _log_likelihood(counts, TOLERABLE)
-    return tuple(_log_likelihood(counts, risk) - tolerable for risk in WORSE)
+        return (0.0,) * len(WORSE_RISK_RATIOS)
+    tolerable = _log_likelihood(counts, TOLERABLE_RISK_RATIO)
+    return tuple(
+        _log_likelihood(counts, risk) - tolerable for risk in WORSE_RISK_RATIOS
+    )
 
 
 def _log_likelihood(counts: Counts, risk: float) -> float:
--- a/lagoonpost/systems/gateway.py
+++ b/lagoonpost/systems/gateway.py
@@ -28,8 +28,8 @@
     Event,
     Finished,
     FirstToken,
+    GatewaysChanged,
     Leaving,
-    Peered,
     Progress,
     Quarantined,
     Refuse,
@@ -39,7 +39,7 @@
 )
 from lagoonpost.systems.gateway_tables import GatewayTables
 from lagoonpost.systems.isolation import (
-    POISON,
+    POISON_STATUS,
     apply_quarantine,
     apply_verdict,
     dispatch_all,
@@ -50,7 +50,7 @@
 from lagoonpost.tables.entity import Runner
 from lagoonpost.tables.load import RunnerLoad
 
-NO_CAPACITY = 503
+NO_CAPACITY_STATUS = 503
 
 
 def decide(
@@ -128,7 +128,7 @@
 
 
 def _peer(
-    tables: GatewayTables, event: Peered, now: float, rng: Random
+    tables: GatewayTables, event: GatewaysChanged, now: float, rng: Random
 ) -> list[Action]:
     tables.gateways = event.gateways
     _place_runners(tables)
@@ -158,10 +158,10 @@
 ) -> list[Action]:
     request = event.request
     if tables.verdicts.get(request.fingerprint) == "refused":
-        return [Refuse(request.id, POISON, "poison", None)]
+        return [Refuse(request.id, POISON_STATUS, "poison", None)]
     pool = tables.pools.get(request.service)
     if pool is None:
-        return [Refuse(request.id, NO_CAPACITY, "no_runner", 1.0)]
+        return [Refuse(request.id, NO_CAPACITY_STATUS, "no_runner", 1.0)]
     if tables.verdicts.get(request.fingerprint) == "alone":
         tables.requests[request.id] = request
         isolate(tables, pool, request, now)
@@ -286,7 +286,7 @@
 _Handler = Callable[[GatewayTables, Any, float, Random], list[Action]]
 _HANDLERS: dict[type[Event], _Handler] = {
     Declared: _declare,
-    Peered: _peer,
+    GatewaysChanged: _peer,
     Leaving: _leave,
     Arrived: _arrive,
     Resumed: _resume,
--- a/lagoonpost/systems/isolation.py
+++ b/lagoonpost/systems/isolation.py
@@ -17,9 +17,9 @@
 from lagoonpost.systems.pool import Isolation, Moved, Pool
 from lagoonpost.tables.request import RequestRow
 
-POISON = 422
+POISON_STATUS = 422
 # Facts are known to all in 0.18 s at worst of 72 members (bench/gossip).
-HEARD_SECONDS = 0.25
+GOSSIP_SECONDS = 0.25
 
 
 def apply_quarantine(
@@ -40,7 +40,7 @@
             continue
         if request.id not in pool.flights:
             forget(pool, request.id)
-            actions.append(Refuse(request.id, POISON, "poison", None))
+            actions.append(Refuse(request.id, POISON_STATUS, "poison", None))
     return actions
 
 
@@ -83,7 +83,7 @@
     accepted = moved is not None and moved.accepted
     # Other gateways' suspects of the same lost runner are not known yet, and
     # one of them would be sent to the same next runner by its gateway.
-    ready = now + HEARD_SECONDS
+    ready = now + GOSSIP_SECONDS
     if moved is not None and request.id in pool.alone:
         ready = moved.ready
     withdraw(pool, request.id)
@@ -104,7 +104,7 @@
     if verdict == "refused":
         # It would take the next runner down as well.
         forget(pool, request.id)
-        return [Refuse(request.id, POISON, "poison", None)]
+        return [Refuse(request.id, POISON_STATUS, "poison", None)]
     if verdict == "alone":
         isolate(tables, pool, request, now)
     return []
--- a/lagoonpost/systems/migration.py
+++ b/lagoonpost/systems/migration.py
@@ -18,15 +18,15 @@
 
 from lagoonpost.tables.endpoint import Endpoint
 
-MOVE_SECONDS = 1.0
+MIGRATION_LEAD_SECONDS = 1.0
 """Time before a runner goes at which its runs are moved: the copies of 64 runs
 of 12,000 tokens take 0.4 to 0.8 s on one link, one after the other."""
-LEAST_PROMPT = 1500
+MIN_PROMPT_TOKENS = 1500
 """Prompt tokens from which a stream that may be resumed is moved too: shorter
 ones are read again in the time that a copy and its calls take."""
 
 
-class Place(NamedTuple):
+class Candidate(NamedTuple):
     """A runner that may take a run.
 
     Attributes:
@@ -40,28 +40,28 @@
     suspect: bool
 
 
-def is_worth_moving(idempotent: bool, prompt: int) -> bool:
+def is_worth_migrating(idempotent: bool, prompt: int) -> bool:
     """Tell whether a stream is moved away from a runner that goes.
 
     Args:
         idempotent: Whether another runner may run it again.
         prompt: Tokens that it would have to read again.
     """
-    return not idempotent or prompt >= LEAST_PROMPT
+    return not idempotent or prompt >= MIN_PROMPT_TOKENS
 
 
-def find_start(gone: float, now: float) -> float:
+def compute_migration_delay(gone: float, now: float) -> float:
     """Return the seconds until runs are to be moved.
 
     Args:
         gone: Time at which the runner goes.
         now: Time of the same clock.
     """
-    return max(0.0, gone - MOVE_SECONDS - now)
+    return max(0.0, gone - MIGRATION_LEAD_SECONDS - now)
 
 
 def choose_target(
-    places: Iterable[Place], source: Endpoint, rng: Random
+    places: Iterable[Candidate], source: Endpoint, rng: Random
 ) -> Endpoint | None:
     """Choose where a run goes on: at the least busy runner.
 
--- a/lagoonpost/systems/move.py
+++ b/lagoonpost/systems/move.py
@@ -38,9 +38,9 @@
     """
 
     share: float
-    gateways: float
-    time: float
-    least_seconds: float
+    gateway_share: float
+    time_share: float
+    min_seconds: float
 
 
 STAGES = (
@@ -55,11 +55,11 @@
     # not be told from a fault of the version.
     Stage(0.75, 1.0, 0.30, 30.0),
 )
-SPREAD_SECONDS = 2.0
+GOSSIP_SECONDS = 2.0
 """Time in which gossip brings a trip to all gateways."""
-SPARE_SECONDS = 4.0
+DEADLINE_MARGIN_SECONDS = 4.0
 """Kept before the deadline: for a last trip, then for all to hear `done`."""
-LONGEST_SECONDS = 3600.0
+MAX_RAMP_SECONDS = 3600.0
 """Longest climb; a later deadline does not stretch it further."""
 
 Outcome = Literal["moving", "done", "taken_back"]
@@ -86,13 +86,13 @@
     ended: float = 0.0
 
 
-class TooNear(NamedTuple):
+class DeadlineTooNear(NamedTuple):
     """The deadline cannot be met; ``earliest`` is the first that can."""
 
     earliest: float
 
 
-def find_earliest(now: float, load_seconds: float) -> float:
+def compute_earliest_deadline(now: float, load_seconds: float) -> float:
     """Return the earliest deadline that a move may have.
 
     Args:
@@ -100,22 +100,22 @@
         load_seconds: Until the version is loaded: bytes of the weights
             times runners, over the weight store's rate.
     """
-    return now + load_seconds + _sum_least() + SPARE_SECONDS
+    return now + load_seconds + _sum_least() + DEADLINE_MARGIN_SECONDS
 
 
 def begin_move(
     move: Move, now: float, load_seconds: float = 0.0
-) -> MoveRow | TooNear:
+) -> MoveRow | DeadlineTooNear:
     """Begin the climb, or say at once that the deadline is too near.
 
     Called when the move is declared, with the time to load; and again with
     0 when the version is loaded, as the weight store may have been slow.
     """
-    earliest = find_earliest(now, load_seconds)
+    earliest = compute_earliest_deadline(now, load_seconds)
     if move.by < earliest:
-        return TooNear(earliest)
+        return DeadlineTooNear(earliest)
     started = now + load_seconds
-    end = min(move.by - SPARE_SECONDS, started + LONGEST_SECONDS)
+    end = min(move.by - DEADLINE_MARGIN_SECONDS, started + MAX_RAMP_SECONDS)
     return MoveRow(move, started, end)
 
 
@@ -124,7 +124,9 @@
     if now < row.started:
         return -1
     spare = row.end - row.started - _sum_least()
-    lengths = [stage.least_seconds + spare * stage.time for stage in STAGES]
+    lengths = [
+        stage.min_seconds + spare * stage.time_share for stage in STAGES
+    ]
     ends = accumulate(lengths[:-1], initial=row.started)
     return sum(now >= end for end in ends) - 1
 
@@ -149,30 +151,30 @@
         return 1.0
     # A gateway that is cut off from its peers would not hear of a trip and
     # would go on sending requests to a bad version.
-    cut_off = now - heard > SPREAD_SECONDS
+    cut_off = now - heard > GOSSIP_SECONDS
     stage = find_stage(row, now)
     if row.outcome == "taken_back" or cut_off or stage < 0:
         return 0.0
     step = STAGES[stage]
     ranked = sorted(gateways, key=lambda name: _rank(row, name))
-    count = max(1, round(step.gateways * len(ranked)))
+    count = max(1, round(step.gateway_share * len(ranked)))
     if gateway not in ranked[:count]:
         return 0.0
     return min(1.0, step.share * len(ranked) / count)
 
 
-def finish(row: MoveRow, now: float) -> MoveRow:
+def finish_move(row: MoveRow, now: float) -> MoveRow:
     """Return ``row`` as done if its time is over.
 
     Evidence ends with the bake, and what tripped in its last moment has
     spread ``SPREAD_SECONDS`` later; so no trip comes after `done`.
     """
-    if row.outcome != "moving" or now < row.end + SPREAD_SECONDS:
+    if row.outcome != "moving" or now < row.end + GOSSIP_SECONDS:
         return row
     return row._replace(outcome="done", ended=now)
 
 
-def take_back(row: MoveRow, reason: str, now: float) -> MoveRow:
+def roll_back(row: MoveRow, reason: str, now: float) -> MoveRow:
     """End the move for good; a move that has ended stays as it is."""
     if row.outcome != "moving":
         return row
@@ -201,4 +203,4 @@
 
 
 def _sum_least() -> float:
-    return sum(stage.least_seconds for stage in STAGES)
+    return sum(stage.min_seconds for stage in STAGES)
--- a/lagoonpost/systems/poison.py
+++ b/lagoonpost/systems/poison.py
@@ -18,20 +18,20 @@
 
 import xxhash
 
-DOWN_SECONDS = 4.0
+CRASH_DETECTION_SECONDS = 4.0
 """Time within which a runner that crashed is found to be down: a send to it,
 or three of its heartbeats."""
-MOST_BREAKS = 3
+BREAKS_TO_REFUSE = 3
 """Breaks after which a request is not sent: the third may be no chance."""
-KEEP_SECONDS = 60.0
+BREAK_TTL_SECONDS = 60.0
 """How long breaks count; a runner that was mended by then may try again."""
-MOST_OPEN = 100
+MAX_PENDING_PER_RUNNER = 100
 """Breaks of a runner that are remembered until it is known to be down."""
-MOST_KEPT = 10_000
+MAX_REQUESTS = 10_000
 """Requests that are remembered; the oldest are forgotten first."""
 
 
-class Break(NamedTuple):
+class BrokenAnswer(NamedTuple):
     """One answer that broke off.
 
     Attributes:
@@ -45,29 +45,35 @@
     attempt: str
 
 
-class BreakTable:
+class BrokenAnswerTable:
     """Breaks by request, own ones and those that peers told of."""
 
     def __init__(self) -> None:
-        self._open: dict[str, dict[Break, float]] = {}
-        self._breaks: dict[str, dict[Break, float]] = {}
+        self._open: dict[str, dict[BrokenAnswer, float]] = {}
+        self._breaks: dict[str, dict[BrokenAnswer, float]] = {}
 
-    def note(self, seen: Break, now: float) -> None:
+    def note(self, seen: BrokenAnswer, now: float) -> None:
         """Note a break; the same one counts once however often it comes."""
         breaks = self._open.setdefault(seen.runner, {})
         breaks[seen] = now
         oldest = next(iter(breaks))
-        if len(breaks) > MOST_OPEN or breaks[oldest] < now - DOWN_SECONDS:
+        if (
+            len(breaks) > MAX_PENDING_PER_RUNNER
+            or breaks[oldest] < now - CRASH_DETECTION_SECONDS
+        ):
             del breaks[oldest]
 
     def note_down(self, runner: str, now: float) -> None:
         """Count the breaks of a runner that turned out to be down."""
         counted = set()
         for seen, at in self._open.pop(runner, {}).items():
-            if now - at <= DOWN_SECONDS and seen.fingerprint not in counted:
+            if (
+                now - at <= CRASH_DETECTION_SECONDS
+                and seen.fingerprint not in counted
+            ):
                 counted.add(seen.fingerprint)
                 self._breaks.setdefault(seen.fingerprint, {})[seen] = now
-        while len(self._breaks) > MOST_KEPT:
+        while len(self._breaks) > MAX_REQUESTS:
             del self._breaks[next(iter(self._breaks))]
 
     def note_answered(self, fingerprint: str) -> None:
@@ -83,8 +89,8 @@
         breaks = self._breaks.get(fingerprint)
         if not breaks:
             return False
-        oldest = now - KEEP_SECONDS
-        return sum(at > oldest for at in breaks.values()) >= MOST_BREAKS
+        oldest = now - BREAK_TTL_SECONDS
+        return sum(at > oldest for at in breaks.values()) >= BREAKS_TO_REFUSE
 
 
 def make_fingerprint(workspace: str, target: str, body: bytes) -> str:
--- a/lagoonpost/systems/pool.py
+++ b/lagoonpost/systems/pool.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from lagoonpost.systems.affinity import PrefixTable
-from lagoonpost.systems.backoff import Promises, RetryBudget
+from lagoonpost.systems.backoff import RetryBudget, ReturnQueue
 from lagoonpost.systems.cost import Rates
 from lagoonpost.systems.queueing import CLASSES, FairQueue
 from lagoonpost.tables.entity import (
@@ -120,7 +120,7 @@
     tried: dict[str, set[str]] = field(default_factory=dict)
     rates: Rates = field(default_factory=Rates)
     prefixes: PrefixTable = field(default_factory=PrefixTable)
-    promises: Promises = field(default_factory=Promises)
+    promises: ReturnQueue = field(default_factory=ReturnQueue)
     budget: RetryBudget = field(default_factory=RetryBudget)
 
     @property
--- a/lagoonpost/systems/quarantine.py
+++ b/lagoonpost/systems/quarantine.py
@@ -36,9 +36,9 @@
 
 Verdict = Literal["alone", "refused"]
 
-MOST_LOSSES = 3
-MOST_ON_VERSION = 6
-BLAME = 3
+LOSSES_TO_CONVICT = 3
+LOSSES_TO_CONVICT_ON_ONE_VERSION = 6
+LOSSES_TO_BLAME_VERSION = 3
 # A wave is noticed by closed connections within milliseconds, or by the
 # silence limit and a probe within about two seconds.
 WAVE_SECONDS = 2.0
@@ -59,7 +59,7 @@
     runner: str
     version: str
     at: float
-    beside: int
+    concurrent: int
 
 
 class Quarantine:
@@ -80,16 +80,16 @@
         self._losses[key] = loss
         return True
 
-    def clear(self, fingerprint: str, at: float) -> None:
+    def record_completion(self, fingerprint: str, at: float) -> None:
         """Take in that a request completed at time ``at``."""
         known = self._cleared.get(fingerprint, -inf)
         self._cleared[fingerprint] = max(known, at)
 
-    def refuse(self, fingerprint: str) -> None:
+    def record_conviction(self, fingerprint: str) -> None:
         """Take in that a request was convicted, here or elsewhere."""
         self._refused.add(fingerprint)
 
-    def is_refused(self, fingerprint: str) -> bool:
+    def is_convicted(self, fingerprint: str) -> bool:
         """Tell whether a conviction was taken in."""
         return fingerprint in self._refused
 
@@ -97,7 +97,7 @@
         """Tell whether a completion of this request is worth telling."""
         return any(loss.fingerprint == fingerprint for loss in self._counted())
 
-    def judge(self, serving: Iterable[str]) -> dict[str, Verdict]:
+    def compute_verdicts(self, serving: Iterable[str]) -> dict[str, Verdict]:
         """Return the verdict on each request that has one.
 
         Args:
@@ -111,7 +111,7 @@
         verdicts.update(dict.fromkeys(refused, "refused"))
         return verdicts
 
-    def avoid(self, fingerprint: str) -> frozenset[str]:
+    def find_versions_to_avoid(self, fingerprint: str) -> frozenset[str]:
         """Return the versions on which a suspect's runners were lost."""
         return frozenset(
             loss.version
@@ -119,11 +119,11 @@
             if loss.fingerprint == fingerprint
         )
 
-    def blame(self) -> frozenset[str]:
+    def find_faulty_versions(self) -> frozenset[str]:
         """Return the versions that crash on their own."""
         return _Case(self._counted(), frozenset()).blamed
 
-    def forget(self, before: float) -> None:
+    def expire(self, before: float) -> None:
         """Drop what happened before a time; convictions stay."""
         for key, loss in list(self._losses.items()):
             if loss.at < before:
@@ -180,10 +180,10 @@
 
     def _is_convicted(self, losses: list[Loss]) -> bool:
         losses = [loss for loss in losses if loss.version not in self.blamed]
-        most = MOST_ON_VERSION
+        most = LOSSES_TO_CONVICT_ON_ONE_VERSION
         if self._excludes_version(losses):
-            most = MOST_LOSSES
-        shared = most == MOST_LOSSES and self._is_shared(losses)
+            most = LOSSES_TO_CONVICT
+        shared = most == LOSSES_TO_CONVICT and self._is_shared(losses)
         if len(losses) >= most and not shared:
             return True
         telling = [loss for loss in losses if self._counts(loss)]
@@ -215,7 +215,7 @@
 
     def _was_alone(self, runner: str) -> bool:
         losses = self.on_runner[runner]
-        return len(losses) == 1 and losses[0].beside == 0
+        return len(losses) == 1 and losses[0].concurrent == 0
 
     def _excludes_version(self, losses: list[Loss]) -> bool:
         """Tell whether the version can't be what the losses share."""
@@ -249,7 +249,8 @@
         return frozenset(
             version
             for version, runners in lost.items()
-            if len(runners) >= BLAME and not _is_explained(runners)
+            if len(runners) >= LOSSES_TO_BLAME_VERSION
+            and not _is_explained(runners)
         )
 
 
--- a/lagoonpost/systems/relay.py
+++ b/lagoonpost/systems/relay.py
@@ -49,13 +49,13 @@
 
 # Tokens that wait for an earlier one before it is fetched again. Neighbours
 # swap by one or two; 64 is 2.4 s of an answer at 38 ms a token.
-MOST_EARLY = 64
+MAX_EARLY_TOKENS = 64
 # Probes in a row that bring no token. One settles a cut or silent
 # connection. The second covers a probe that is itself cut.
-MOST_PROBES = 2
+MAX_PROBES = 2
 # Moves of one answer. Reclaims come in waves, so several in one long draft
 # are ordinary; the bound only ends a loop that the placement let happen.
-MOST_MOVES = 16
+MAX_MOVES = 16
 # When to come back after an answer was given up for its own sake. The next
 # try is another placement, so a short while is enough.
 RETRY_SECONDS = 1.0
@@ -66,10 +66,10 @@
 # fleet at 740 000 tokens a second, each costing one connection. The floor
 # is 13 gaps at the target of 38 ms, for a mean over few reads is uncertain.
 SILENCE_GAPS = 12.0
-SILENCE_FLOOR = 0.5
+MIN_SILENCE_SECONDS = 0.5
 # Before the first token: twice the target of 1.9 s. By then this runner has
 # missed the target, and less would move prefills about under plain load.
-FIRST_SILENCE = 3.8
+FIRST_TOKEN_SILENCE_SECONDS = 3.8
 
 
 def silence_limit(mean_gap: float, has_tokens: bool, probed: bool) -> float:
@@ -81,9 +81,9 @@
         probed: Whether a probe already showed the runner to be reachable.
             The move that comes next costs a prefill, so it waits longer.
     """
-    limit = FIRST_SILENCE
+    limit = FIRST_TOKEN_SILENCE_SECONDS
     if has_tokens:
-        limit = max(SILENCE_FLOOR, SILENCE_GAPS * mean_gap)
+        limit = max(MIN_SILENCE_SECONDS, SILENCE_GAPS * mean_gap)
     return 2 * limit if probed else limit
 
 
@@ -199,7 +199,7 @@
 def _keep_early(relay: Relay, event: Arrived) -> list[Action]:
     relay.early[event.offset] = event.tokens
     waiting = sum(len(tokens) for tokens in relay.early.values())
-    if waiting <= MOST_EARLY:
+    if waiting <= MAX_EARLY_TOKENS:
         return []
     # The token before these is lost, not late: without a new fetch, the
     # caller would see the answer stop while parts go on coming in.
@@ -243,14 +243,14 @@
         # An announced end is the likeliest cause of a cut connection; a
         # probe would only lose the time that a move needs.
         return _move(relay, "leaving")
-    if relay.probes >= MOST_PROBES or (event.silent and relay.probes):
+    if relay.probes >= MAX_PROBES or (event.silent and relay.probes):
         return _move(relay, "silent" if event.silent else "lost")
     return _probe(relay)
 
 
 def _probe(relay: Relay) -> list[Action]:
     assert relay.runner is not None
-    if relay.probes >= MOST_PROBES:
+    if relay.probes >= MAX_PROBES:
         return _move(relay, "lost")
     relay.probes += 1
     relay.early.clear()
@@ -280,7 +280,7 @@
     actions: list[Action] = []
     if kind in ("silent", "leaving", "lost"):
         actions.append(Cancel(relay.runner))
-    if relay.moves > MOST_MOVES:
+    if relay.moves > MAX_MOVES:
         return actions + _fail(relay, "too_many_moves", RETRY_SECONDS)
     return [*actions, Place(relay.runner, kind)]
 
--- a/lagoonpost/systems/rollout.py
+++ b/lagoonpost/systems/rollout.py
@@ -23,13 +23,13 @@
     Counts,
     Evidence,
     add_interval,
+    compute_log_ratios,
     is_worse,
-    weigh,
 )
-from lagoonpost.systems.move import MoveRow, merge_moves, take_back
+from lagoonpost.systems.move import MoveRow, merge_moves, roll_back
 
-Question = Literal["failed", "slow"]
-QUESTIONS: tuple[Question, ...] = ("failed", "slow")
+Criterion = Literal["failed", "slow"]
+CRITERIA: tuple[Criterion, ...] = ("failed", "slow")
 
 
 class Outcome(NamedTuple):
@@ -54,7 +54,7 @@
     """Bad requests of one route and question in one interval."""
 
     route: str
-    question: Question
+    criterion: Criterion
     counts: Counts
 
 
@@ -68,7 +68,7 @@
 
 class _Kind(NamedTuple):
     route: str
-    question: Question
+    criterion: Criterion
     share: float
     is_new: bool
 
@@ -87,14 +87,14 @@
 
     def __init__(self, row: MoveRow, routes: int) -> None:
         self.row = row
-        self._questions = routes * len(QUESTIONS)
+        self._questions = routes * len(CRITERIA)
         self._intervals = max(1.0, (row.end - row.started) / INTERVAL_SECONDS)
         self._own: dict[int, Counter[_Kind]] = {}
         self._heard: dict[int, dict[str, Report]] = {}
-        self._evidence: dict[tuple[str, Question], Evidence] = {}
+        self._evidence: dict[tuple[str, Criterion], Evidence] = {}
         self._judged = find_interval(row.started) - 1
 
-    def note(self, outcome: Outcome, now: float) -> None:
+    def record(self, outcome: Outcome, now: float) -> None:
         """Count an attempt that has ended."""
         move = self.row.move
         if outcome.version not in (move.from_version, move.to_version):
@@ -102,7 +102,7 @@
         is_new = outcome.version == move.to_version
         interval = find_interval(now)
         own = self._own.setdefault(interval, Counter())
-        asked: Mapping[Question, bool] = {
+        asked: Mapping[Criterion, bool] = {
             "failed": outcome.failed,
             "slow": outcome.slow,
         }
@@ -111,7 +111,7 @@
                 kind = _Kind(outcome.route, question, outcome.share, is_new)
                 own[kind] += 1
 
-    def close(self, gateway: str, now: float) -> list[Report]:
+    def close_intervals(self, gateway: str, now: float) -> list[Report]:
         """Return the reports of own intervals that are over."""
         over = [each for each in self._own if each < find_interval(now)]
         reports = []
@@ -122,13 +122,13 @@
                 reports.append(Report(gateway, interval, tallies))
         return reports
 
-    def hear(self, report: Report) -> None:
+    def add_report(self, report: Report) -> None:
         """Take in a gateway's report, this one's included."""
         if report.interval > self._judged:
             heard = self._heard.setdefault(report.interval, {})
             heard[report.gateway] = report
 
-    def judge(self, now: float) -> bool:
+    def evaluate(self, now: float) -> bool:
         """Judge what is complete; True if the move trips by it."""
         last = find_interval(now) - 2
         while self._judged < last and self.row.outcome == "moving":
@@ -138,9 +138,9 @@
                 return True
         return False
 
-    def trip(self, reason: str, now: float) -> MoveRow:
+    def roll_back(self, reason: str, now: float) -> MoveRow:
         """Take the move back and return its row."""
-        self.row = take_back(self.row, reason, now)
+        self.row = roll_back(self.row, reason, now)
         return self.row
 
     def merge(self, row: MoveRow) -> bool:
@@ -155,16 +155,16 @@
         if not self._evidence:
             return "no bad request"
         (route, question), _ = max(
-            self._evidence.items(), key=lambda item: max(item[1].sums)
+            self._evidence.items(), key=lambda item: max(item[1].log_sums)
         )
         return f"{question} on {route}"
 
     def _add(self, reports: Mapping[str, Report]) -> bool:
-        ratios: dict[tuple[str, Question], list[tuple[float, ...]]] = {}
+        ratios: dict[tuple[str, Criterion], list[tuple[float, ...]]] = {}
         for report in reports.values():
             for route, question, counts in report.tallies:
                 asked = ratios.setdefault((route, question), [])
-                asked.append(weigh(counts))
+                asked.append(compute_log_ratios(counts))
         for key in self._evidence.keys() | ratios.keys():
             self._evidence[key] = add_interval(
                 self._evidence.get(key, Evidence()),
@@ -182,7 +182,7 @@
     return tuple(
         Tally(
             kind.route,
-            kind.question,
+            kind.criterion,
             Counts(
                 kind.share,
                 counted.get(kind, 0),
--- a/lagoonpost/systems/shift.py
+++ b/lagoonpost/systems/shift.py
@@ -24,8 +24,8 @@
     Counts,
     Evidence,
     add_interval,
+    compute_log_ratios,
     is_worse,
-    weigh,
 )
 from lagoonpost.tables.version_shift import (
     Phase,
@@ -35,29 +35,29 @@
     subtract_counts,
 )
 
-SAFE_PART = 0.6
+EXPOSURE_SAFETY_SHARE = 0.6
 """Part of the promised exposure that is used before the version is trusted:
 the rest is for requests that are counted elsewhere and never arrive."""
-TRIAL_SHARE = 0.5
+MAX_TRIAL_SHARE = 0.5
 """Most of the requests that try the new version while the bound allows more:
 with no request left to the old one there is nothing to compare with."""
-ALL_PART = 0.25
+DRAIN_TIME_SHARE = 0.25
 """Part of the time that is left for all requests on the new version, in which
 the old runners end what they do."""
-ALL_SECONDS = 2.0
+MIN_DRAIN_SECONDS = 2.0
 """The same at least: most answers take less."""
-LAST_SECONDS = 3.0
+LEADER_ONLY_SECONDS = 3.0
 """Time before the end in which the holder of the duties judges alone: it may
 complete a version then, and one that others took back in the same moment
 would be left without runners."""
-SPARE_SECONDS = 1.0
+WRITE_MARGIN_SECONDS = 1.0
 """Left before the end for the news of it to be written and acknowledged, with
 one call to the store that is lost."""
-LEAST_ANSWERS = 10
+MIN_ANSWERS = 10
 """Answers of the new version without which nothing is known of it."""
 ALL_ROUTES = ""
 """Key of the sum over all routes: a fault on all of them shows there first."""
-QUESTIONS = 2
+CRITERIA_PER_ROUTE = 2
 """Asked of each route: whether it fails more often, and is slow more often."""
 
 
@@ -80,18 +80,18 @@
         self.total = 0
         self.new = 0
 
-    def may_try(self, bounds: ExposureBounds, gateways: int) -> bool:
+    def allows_trial(self, bounds: ExposureBounds, gateways: int) -> bool:
         """Tell whether one more request may go to the new version."""
         allowed = bounds.share * self.total + bounds.slack / max(1, gateways)
-        return self.new + 1 <= SAFE_PART * allowed
+        return self.new + 1 <= EXPOSURE_SAFETY_SHARE * allowed
 
-    def note_sent(self, is_new: bool) -> None:
+    def record_sent(self, is_new: bool) -> None:
         """Count a request that was sent to either version."""
         self.total += 1
         self.new += is_new
 
 
-class ShiftJudge:
+class ShiftEvaluator:
     """Judges one order by the answers of all gateways.
 
     Args:
@@ -126,8 +126,8 @@
                 return "taken_back"
         if phase == "trial":
             return "all" if self._may_take_all(counts, now) else phase
-        ended = now >= self.note_all(now) + ALL_SECONDS
-        due = self._started + self.order.seconds - SPARE_SECONDS
+        ended = now >= self.mark_all_new(now) + MIN_DRAIN_SECONDS
+        due = self._started + self.order.seconds - WRITE_MARGIN_SECONDS
         return "complete" if ended and now >= due else phase
 
     @property
@@ -135,15 +135,15 @@
         """Time from which the order's own time counts."""
         return self._started
 
-    def note_start(self, started: float) -> None:
+    def merge_start(self, started: float) -> None:
         """Take when another gateway learned the order; the first counts."""
         self._started = min(self._started, started)
 
-    def may_watch(self, now: float) -> bool:
+    def may_roll_back(self, now: float) -> bool:
         """Tell whether one that is not the holder may take a version back."""
-        return now < self._started + self.order.seconds - LAST_SECONDS
+        return now < self._started + self.order.seconds - LEADER_ONLY_SECONDS
 
-    def note_all(self, now: float) -> float:
+    def mark_all_new(self, now: float) -> float:
         """Note that all requests go to the new version; return since when.
 
         Whoever judges next counts the time of the old runners' end from
@@ -158,9 +158,12 @@
     ) -> bool:
         seconds = self.order.seconds
         left = self._started + seconds - now
-        if left > max(ALL_PART * seconds, ALL_SECONDS + SPARE_SECONDS):
+        if left > max(
+            DRAIN_TIME_SHARE * seconds,
+            MIN_DRAIN_SECONDS + WRITE_MARGIN_SECONDS,
+        ):
             return False
-        return sum(each.new for each in counts.values()) >= LEAST_ANSWERS
+        return sum(each.new for each in counts.values()) >= MIN_ANSWERS
 
     def _is_worse(
         self, counts: Mapping[str, VersionCounts], has_old: bool
@@ -183,10 +186,10 @@
                 key = (route, question)
                 self._evidence[key] = add_interval(
                     self._evidence.get(key, Evidence()),
-                    [weigh(asked)],
+                    [compute_log_ratios(asked)],
                     intervals,
                 )
-        questions = QUESTIONS * len(counts)
+        questions = CRITERIA_PER_ROUTE * len(counts)
         return any(
             is_worse(each, questions) for each in self._evidence.values()
         )
--- a/lagoonpost/systems/ticket.py
+++ b/lagoonpost/systems/ticket.py
@@ -8,7 +8,7 @@
     find_misfits,
     merge_objects,
 )
-from lagoonpost.systems.move import find_earliest
+from lagoonpost.systems.move import compute_earliest_deadline
 from lagoonpost.tables.ticket import (
     Accepted,
     Fault,
@@ -18,19 +18,19 @@
     TicketRecord,
 )
 
-SHOWN = 5
+MAX_KEYS_SHOWN = 5
 """Objects named in one refusal; more do not help an operator."""
 
 
-class Proceed(NamedTuple):
+class Committable(NamedTuple):
     """The ticket may be committed; ``after`` is what it leads to."""
 
-    after: Snapshot
+    snapshot: Snapshot
 
 
-def judge(
+def evaluate_ticket(
     ticket: Ticket, digest: str, before: Snapshot, held: TicketRecord | None
-) -> Accepted | Refused | Proceed:
+) -> Accepted | Refused | Committable:
     """Judge ``ticket`` against one consistent reading of the store.
 
     Args:
@@ -56,10 +56,10 @@
     faults = tuple(_find_new_misfits(before, after))
     if faults:
         return Refused("invalid", "does not fit what is declared", faults)
-    return Proceed(after)
+    return Committable(after)
 
 
-def find_near_deadlines(ticket: Ticket, now: float) -> list[Fault]:
+def find_unreachable_deadlines(ticket: Ticket, now: float) -> list[Fault]:
     """Return the moves of ``ticket`` that cannot be done by their time.
 
     They are said and not refused: a refusal that depends on the time could
@@ -67,7 +67,7 @@
     would be both refused and in force. Their moves end as soon as they begin
     (`lagoonpost.systems.move.begin_move`).
     """
-    earliest = find_earliest(now, 0.0)
+    earliest = compute_earliest_deadline(now, 0.0)
     alone = Snapshot(0, merge_objects({}, ticket.number, ticket.objects))
     return [
         Fault(
@@ -96,8 +96,10 @@
         if key in before.objects
         and before.objects[key].ticket >= ticket.number
     ]
-    more = len(newer) - SHOWN
-    return newer if more <= 0 else [*newer[:SHOWN], f"and {more} more"]
+    more = len(newer) - MAX_KEYS_SHOWN
+    return (
+        newer if more <= 0 else [*newer[:MAX_KEYS_SHOWN], f"and {more} more"]
+    )
 
 
 def _find_parted_moves(ticket: Ticket, before: Snapshot) -> Iterator[Fault]:
--- a/test/test_backoff.py
+++ b/test/test_backoff.py
@@ -8,15 +8,15 @@
 from bench.player import Player
 from bench.workload import Call, capacity, draw_arrivals, make_declaration
 from lagoonpost.systems.backoff import (
-    BURST,
-    EARN,
-    RETRY_CAP,
-    RETRY_LEAST,
-    SPREAD,
-    Promises,
+    JITTER_SHARE,
+    MAX_RETRY_SECONDS,
+    MAX_RETRY_TOKENS,
+    MIN_RETRY_SECONDS,
+    TOKENS_PER_ATTEMPT,
     RetryBudget,
-    back_off,
-    spread_delay,
+    ReturnQueue,
+    add_jitter,
+    compute_backoff,
 )
 from lagoonpost.systems.event import Dispatch
 
@@ -26,34 +26,44 @@
 class TestSpread:
     @given(st.floats(0, 1e6), st.integers())
     def test_stays_in_its_bounds(self, seconds, seed):
-        delay = spread_delay(seconds, Random(seed))
-        assert RETRY_LEAST <= delay <= RETRY_CAP * (1 + SPREAD)
+        delay = add_jitter(seconds, Random(seed))
+        assert (
+            MIN_RETRY_SECONDS
+            <= delay
+            <= MAX_RETRY_SECONDS * (1 + JITTER_SHARE)
+        )
 
     @given(st.integers())
     def test_callers_told_at_once_do_not_return_together(self, seed):
         rng = Random(seed)
-        delays = [spread_delay(10.0, rng) for _ in range(200)]
+        delays = [add_jitter(10.0, rng) for _ in range(200)]
         seconds = [int(delay) for delay in delays]
         assert max(map(seconds.count, seconds)) < 200 * 0.4
 
     @given(st.integers(1, 2000), st.integers())
     def test_back_off_is_capped(self, attempt, seed):
-        assert 0 <= back_off(attempt, 0.05, Random(seed)) <= RETRY_CAP
+        assert (
+            0
+            <= compute_backoff(attempt, 0.05, Random(seed))
+            <= MAX_RETRY_SECONDS
+        )
 
 
 class TestPromises:
     @given(st.integers(1, 200), st.floats(1, 1000))
     def test_returns_come_no_faster_than_they_are_served(self, count, drain):
-        promises = Promises()
+        promises = ReturnQueue()
         delays = [promises.add(10.0, 0.0, drain, 1.0) for _ in range(count)]
         for index, delay in enumerate(delays):
-            expected = min(index * 10.0 / drain, RETRY_CAP)
+            expected = min(index * 10.0 / drain, MAX_RETRY_SECONDS)
             assert abs(delay - expected) < 1e-6
 
     @given(st.floats(0, 1000), st.floats(0, 1000))
     def test_more_ahead_means_later(self, one, other):
         low, high = sorted((one, other))
-        assert Promises().add(1, low, 5, 1) <= Promises().add(1, high, 5, 1)
+        assert ReturnQueue().add(1, low, 5, 1) <= ReturnQueue().add(
+            1, high, 5, 1
+        )
 
 
 class TestRetryBudget:
@@ -67,7 +77,7 @@
                 firsts += 1
             elif budget.spend():
                 retries += 1
-        assert retries <= BURST + EARN * firsts + 1e-6
+        assert retries <= MAX_RETRY_TOKENS + TOKENS_PER_ATTEMPT * firsts + 1e-6
 
     def test_failing_service_is_not_sent_more(self):
         """A fault of all runners turns into many times the load.
@@ -87,7 +97,7 @@
             if isinstance(action, Dispatch) and 5.0 <= time < 10.0
         ]
         arrived = [o for o in outcomes if 5.0 <= o.arrived < 10.0]
-        assert len(sent) <= 1.1 * len(arrived) + BURST
+        assert len(sent) <= 1.1 * len(arrived) + MAX_RETRY_TOKENS
         after = [o for o in outcomes if o.arrived >= 15.0]
         assert sum(o.good for o in after) >= 0.98 * len(after)
 
--- a/test/test_evacuation.py
+++ b/test/test_evacuation.py
@@ -4,17 +4,21 @@
 from hypothesis import strategies as st
 
 from lagoonpost.systems.evacuation import (
-    LEAST_TOKENS,
-    Evacuee,
-    Link,
+    MIN_TOKENS,
+    LinkEstimate,
+    PendingTransfer,
     choose_next,
     estimate_seconds,
 )
 
-LINK = Link(bytes_per_token=100.0, bytes_per_second=1e5, call_seconds=0.1)
+LINK = LinkEstimate(
+    bytes_per_token=100.0, bytes_per_second=1e5, call_seconds=0.1
+)
 
 
-def _play(evacuees: list[Evacuee], link: Link) -> tuple[int, float]:
+def _play(
+    evacuees: list[PendingTransfer], link: LinkEstimate
+) -> tuple[int, float]:
     """Move one after another; return tokens saved and the end."""
     waiting = list(evacuees)
     now = 0.0
@@ -33,21 +37,24 @@
         In order of arrival the short ones' calls take up the time, and the
         long draft, which costs most to compute again, is left behind.
         """
-        evacuees = [Evacuee(f"s{n}", 100, 1.0) for n in range(8)]
-        evacuees.append(Evacuee("long", 800, 1.0))
+        evacuees = [PendingTransfer(f"s{n}", 100, 1.0) for n in range(8)]
+        evacuees.append(PendingTransfer("long", 800, 1.0))
         chosen = choose_next(evacuees, LINK, 0.0)
         assert chosen is not None
         assert chosen.request_id == "long"
         assert _play(evacuees, LINK)[0] == 800
 
     def test_what_does_not_fit_is_left_to_prompt_and_tokens(self) -> None:
-        evacuees = [Evacuee("long", 5000, 1.0), Evacuee("short", 200, 1.0)]
+        evacuees = [
+            PendingTransfer("long", 5000, 1.0),
+            PendingTransfer("short", 200, 1.0),
+        ]
         chosen = choose_next(evacuees, LINK, 0.0)
         assert chosen is not None
         assert chosen.request_id == "short"
 
     def test_few_tokens_are_not_worth_a_transfer(self) -> None:
-        evacuees = [Evacuee("r", LEAST_TOKENS - 1, 9.0)]
+        evacuees = [PendingTransfer("r", MIN_TOKENS - 1, 9.0)]
         assert choose_next(evacuees, LINK, 0.0) is None
 
     @given(
@@ -57,13 +64,15 @@
     def test_nothing_outlasts_the_notice(
         self, sizes: list[int], notice: float
     ) -> None:
-        evacuees = [Evacuee(f"r{n}", s, notice) for n, s in enumerate(sizes)]
+        evacuees = [
+            PendingTransfer(f"r{n}", s, notice) for n, s in enumerate(sizes)
+        ]
         saved, end = _play(evacuees, LINK)
         assert end <= notice or saved == 0
         fitting = [
             size
             for size in sizes
-            if size >= LEAST_TOKENS and estimate_seconds(size, LINK) <= notice
+            if size >= MIN_TOKENS and estimate_seconds(size, LINK) <= notice
         ]
         # Greedy is never worse than the best single transfer by half.
         assert 2 * saved >= max(fitting, default=0)
@@ -71,8 +80,10 @@
 
 class TestLink:
     def test_learns_size_and_rate(self) -> None:
-        link = Link().learn(size=10_000, tokens=100, seconds=0.11, weight=0.5)
+        link = LinkEstimate().add_sample(
+            size=10_000, tokens=100, seconds=0.11, weight=0.5
+        )
         assert link.bytes_per_token == 100
         assert 90_000 < link.bytes_per_second < 110_000
-        slower = link.learn(10_000, 100, 1.01, 0.5)
+        slower = link.add_sample(10_000, 100, 1.01, 0.5)
         assert slower.bytes_per_second < link.bytes_per_second
--- a/test/test_evidence.py
+++ b/test/test_evidence.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from lagoonpost.systems.evidence import (
-    TOLERABLE,
-    WORSE,
+    TOLERABLE_RISK_RATIO,
+    WORSE_RISK_RATIOS,
     Counts,
     Evidence,
     add_interval,
+    compute_log_ratios,
     is_worse,
-    weigh,
 )
 
 INTERVALS = 300.0
@@ -22,7 +22,9 @@
 def gather(counts: Counts, times: int) -> Evidence:
     evidence = Evidence()
     for _ in range(times):
-        evidence = add_interval(evidence, [weigh(counts)], INTERVALS)
+        evidence = add_interval(
+            evidence, [compute_log_ratios(counts)], INTERVALS
+        )
     return evidence
 
 
@@ -36,14 +38,22 @@
         This is what makes the test safe to look at again and again, and in
         an outage behind both versions.
         """
-        new = TOLERABLE * share / (TOLERABLE * share + 1 - share)
+        new = (
+            TOLERABLE_RISK_RATIO
+            * share
+            / (TOLERABLE_RISK_RATIO * share + 1 - share)
+        )
         chances = [
             comb(bad, new_bad) * new**new_bad * (1 - new) ** (bad - new_bad)
             for new_bad in range(bad + 1)
         ]
-        for index in range(len(WORSE)):
+        for index in range(len(WORSE_RISK_RATIOS)):
             ratios = [
-                exp(weigh(Counts(share, new_bad, bad - new_bad))[index])
+                exp(
+                    compute_log_ratios(Counts(share, new_bad, bad - new_bad))[
+                        index
+                    ]
+                )
                 for new_bad in range(bad + 1)
             ]
             pairs = zip(chances, ratios, strict=True)
@@ -52,7 +62,7 @@
 
     @pytest.mark.parametrize("share", [0.0, 1.0])
     def test_one_version_alone_says_nothing(self, share: float) -> None:
-        assert weigh(Counts(share, 10, 0)) == (0.0, 0.0)
+        assert compute_log_ratios(Counts(share, 10, 0)) == (0.0, 0.0)
 
 
 class TestIsWorse:
@@ -68,7 +78,7 @@
 
         The good time must not count in its favour.
         """
-        fault = [weigh(Counts(0.5, 4, 0))]
+        fault = [compute_log_ratios(Counts(0.5, 4, 0))]
         late, early = gather(Counts(0.5, 0, 1), 270), Evidence()
         while not is_worse(early, 4):
             late = add_interval(late, fault, INTERVALS)
@@ -77,7 +87,11 @@
 
     def test_gateways_add_up(self) -> None:
         counts = Counts(0.2, 2, 0)
-        alone = add_interval(Evidence(), [weigh(counts)], INTERVALS)
-        all_nine = add_interval(Evidence(), [weigh(counts)] * 9, INTERVALS)
+        alone = add_interval(
+            Evidence(), [compute_log_ratios(counts)], INTERVALS
+        )
+        all_nine = add_interval(
+            Evidence(), [compute_log_ratios(counts)] * 9, INTERVALS
+        )
         assert not is_worse(alone, 4)
         assert is_worse(all_nine, 4)
--- a/test/test_gateway_quarantine.py
+++ b/test/test_gateway_quarantine.py
@@ -22,7 +22,7 @@
 )
 from lagoonpost.systems.gateway import decide
 from lagoonpost.systems.gateway_tables import GatewayTables
-from lagoonpost.systems.isolation import HEARD_SECONDS
+from lagoonpost.systems.isolation import GOSSIP_SECONDS
 from lagoonpost.systems.quarantine import Loss
 from lagoonpost.tables.entity import (
     Declaration,
@@ -192,7 +192,7 @@
 
     def wait(self) -> list[Action]:
         """Let the time pass in which other gateways' suspects are heard."""
-        return decide(self.tables, Tick(), 1.0 + HEARD_SECONDS, Random(1))
+        return decide(self.tables, Tick(), 1.0 + GOSSIP_SECONDS, Random(1))
 
     def send(self, name: str) -> str:
         row = RequestRow(
--- a/test/test_migration.py
+++ b/test/test_migration.py
@@ -15,12 +15,12 @@
 from lagoonpost.http.client import CallFailedError
 from lagoonpost.http.message import Address, Response
 from lagoonpost.systems.migration import (
-    LEAST_PROMPT,
-    MOVE_SECONDS,
-    Place,
+    MIGRATION_LEAD_SECONDS,
+    MIN_PROMPT_TOKENS,
+    Candidate,
     choose_target,
-    find_start,
-    is_worth_moving,
+    compute_migration_delay,
+    is_worth_migrating,
 )
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost_standins.forwarded import ForwardedRunner, make_event
@@ -62,7 +62,7 @@
         stack.call(
             path,
             "POST",
-            headers=(*make_prompt(LEAST_PROMPT), ("attempt-id", "a-1")),
+            headers=(*make_prompt(MIN_PROMPT_TOKENS), ("attempt-id", "a-1")),
         )
     )
     runner = await find_busy(stack)
@@ -260,11 +260,11 @@
 class TestDecisions:
     def make_place(
         self, name: str, running: int = 0, suspect: bool = False, **more: Any
-    ) -> Place:
+    ) -> Candidate:
         row = Endpoint(name, "chat", Address("", 1), "domain", "v1", 8)
-        return Place(row._replace(**more), running, suspect)
+        return Candidate(row._replace(**more), running, suspect)
 
-    def choose(self, *places: Place) -> str | None:
+    def choose(self, *places: Candidate) -> str | None:
         source = self.make_place("source").endpoint
         target = choose_target(places, source, Random(1))
         return target.id if target else None
@@ -285,10 +285,12 @@
         assert self.choose(self.make_place("full", 8)) is None
 
     def test_as_late_as_is_safe(self):
-        assert find_start(MOVE_SECONDS + 5.0, 3.0) == pytest.approx(2.0)
-        assert find_start(3.1, 3.0) == 0.0
+        assert compute_migration_delay(
+            MIGRATION_LEAD_SECONDS + 5.0, 3.0
+        ) == pytest.approx(2.0)
+        assert compute_migration_delay(3.1, 3.0) == 0.0
 
     def test_what_is_read_again_soon_is_not_moved(self):
-        assert is_worth_moving(False, 10)
-        assert is_worth_moving(True, LEAST_PROMPT)
-        assert not is_worth_moving(True, LEAST_PROMPT - 1)
+        assert is_worth_migrating(False, 10)
+        assert is_worth_migrating(True, MIN_PROMPT_TOKENS)
+        assert not is_worth_migrating(True, MIN_PROMPT_TOKENS - 1)
--- a/test/test_move.py
+++ b/test/test_move.py
@@ -9,17 +9,17 @@
 
 from bench.moves import CASES, GATEWAYS, Result, play
 from lagoonpost.systems.move import (
-    SPREAD_SECONDS,
+    GOSSIP_SECONDS,
     STAGES,
+    DeadlineTooNear,
     MoveRow,
-    TooNear,
     begin_move,
+    compute_earliest_deadline,
     compute_share,
-    find_earliest,
     find_stage,
-    finish,
+    finish_move,
     merge_moves,
-    take_back,
+    roll_back,
 )
 from lagoonpost.tables.entity import Move
 
@@ -53,26 +53,26 @@
         """
         move = Move("booking", "v1", "v2", by=120.0)
         begun = begin_move(move, 0.0, load_seconds=180.0)
-        assert begun == TooNear(find_earliest(0.0, 180.0))
-        later = move._replace(by=find_earliest(0.0, 180.0))
+        assert begun == DeadlineTooNear(compute_earliest_deadline(0.0, 180.0))
+        later = move._replace(by=compute_earliest_deadline(0.0, 180.0))
         assert isinstance(begin_move(later, 0.0, 180.0), MoveRow)
 
     @given(st.floats(0, 5000), st.floats(0, 1000))
     def test_what_may_begin_ends_in_time(
         self, extra: float, load: float
     ) -> None:
-        row = begin(find_earliest(0.0, load) + extra, load)
-        assert row.end + SPREAD_SECONDS < row.move.by
-        assert finish(row, row.end).outcome == "moving"
-        assert finish(row, row.end + SPREAD_SECONDS).outcome == "done"
+        row = begin(compute_earliest_deadline(0.0, load) + extra, load)
+        assert row.end + GOSSIP_SECONDS < row.move.by
+        assert finish_move(row, row.end).outcome == "moving"
+        assert finish_move(row, row.end + GOSSIP_SECONDS).outcome == "done"
 
     @given(st.floats(0, 200))
     def test_each_stage_has_its_least_time(self, extra: float) -> None:
         """A near deadline must not squeeze the bake out of a move."""
-        row = begin(find_earliest(0.0, 0.0) + extra)
+        row = begin(compute_earliest_deadline(0.0, 0.0) + extra)
         seconds = Counter(find_stage(row, now) for now in range(int(row.end)))
         for index, stage in enumerate(STAGES):
-            assert seconds[index] >= stage.least_seconds - 1
+            assert seconds[index] >= stage.min_seconds - 1
 
 
 class TestEnd:
@@ -82,10 +82,10 @@
         No request goes back to a bad version.
         """
         row = begin(600.0)
-        tripped = take_back(row, "failed on bookings", 50.0)
-        assert finish(tripped, 1e6) == tripped
-        assert take_back(tripped, "other", 60.0) == tripped
-        done = finish(row, 1e6)
+        tripped = roll_back(row, "failed on bookings", 50.0)
+        assert finish_move(tripped, 1e6) == tripped
+        assert roll_back(tripped, "other", 60.0) == tripped
+        done = finish_move(row, 1e6)
         assert merge_moves(done, tripped) == tripped
         assert merge_moves(tripped, row) == tripped
 
@@ -94,9 +94,9 @@
         row = begin(600.0)
         facts = [
             row,
-            finish(row, 600.0),
-            take_back(row, "failed on bookings", 50.0),
-            take_back(row, "slow on checks/*", 49.0),
+            finish_move(row, 600.0),
+            roll_back(row, "failed on bookings", 50.0),
+            roll_back(row, "slow on checks/*", 49.0),
         ]
         merged = reduce(merge_moves, [facts[index] for index in order])
         assert merged == facts[3]
@@ -117,8 +117,8 @@
 
     def test_unloaded_and_ended_moves_have_one_version(self) -> None:
         row = begin(600.0, load_seconds=100.0)
-        back = take_back(row, "", 1.0)
-        done = finish(row, 1e6)
+        back = roll_back(row, "", 1.0)
+        done = finish_move(row, 1e6)
         assert set(list_shares(row, 99.0)) == {0.0}
         assert set(list_shares(back, 300.0)) == {0.0}
         assert set(list_shares(done, 1e6)) == {1.0}
@@ -129,7 +129,7 @@
         It cannot hear of the trip, so it must not wait for it.
         """
         row, now = begin(600.0), 500.0
-        heard = now - SPREAD_SECONDS - 0.1
+        heard = now - GOSSIP_SECONDS - 0.1
         share = compute_share(row, GATEWAYS[0], GATEWAYS, now, heard)
         assert share == 0.0
 
--- a/test/test_poison.py
+++ b/test/test_poison.py
@@ -1,6 +1,10 @@
 """Requests that crash their runners."""
 
-from lagoonpost.systems.poison import Break, BreakTable, make_fingerprint
+from lagoonpost.systems.poison import (
+    BrokenAnswer,
+    BrokenAnswerTable,
+    make_fingerprint,
+)
 
 POISON = make_fingerprint("pottery", "/draft/1", b"{}")
 
@@ -11,18 +15,20 @@
 
         Without a verdict each of its retries takes one more runner down.
         """
-        breaks = BreakTable()
+        breaks = BrokenAnswerTable()
         for number in range(3):
             assert not breaks.is_poison(POISON, 1.0)
-            breaks.note(Break(POISON, f"chat-{number}", f"a-{number}"), 1.0)
+            breaks.note(
+                BrokenAnswer(POISON, f"chat-{number}", f"a-{number}"), 1.0
+            )
             breaks.note_down(f"chat-{number}", 1.5)
         assert breaks.is_poison(POISON, 1.0)
         assert not breaks.is_poison(POISON, 100.0)
 
     def test_one_break_told_by_many_counts_once(self):
-        breaks = BreakTable()
+        breaks = BrokenAnswerTable()
         for _ in range(9):
-            breaks.note(Break(POISON, "chat-1", "a-1"), 1.0)
+            breaks.note(BrokenAnswer(POISON, "chat-1", "a-1"), 1.0)
             breaks.note_down("chat-1", 1.5)
         assert not breaks.is_poison(POISON, 1.0)
 
@@ -32,9 +38,9 @@
         Each of its askers would be refused for a minute, though none of
         its runners has crashed.
         """
-        breaks = BreakTable()
+        breaks = BrokenAnswerTable()
         for number in range(50):
-            breaks.note(Break(POISON, "desk-1", f"a-{number}"), 1.0)
+            breaks.note(BrokenAnswer(POISON, "desk-1", f"a-{number}"), 1.0)
         assert not breaks.is_poison(POISON, 1.0)
         breaks.note_down("desk-1", 30.0)
         assert not breaks.is_poison(POISON, 30.0)
@@ -45,9 +51,9 @@
         All their answers break off at once. Counted one by one, a single
         crash would convict the question for a minute.
         """
-        breaks = BreakTable()
+        breaks = BrokenAnswerTable()
         for number in range(9):
-            breaks.note(Break(POISON, "desk-1", f"a-{number}"), 1.0)
+            breaks.note(BrokenAnswer(POISON, "desk-1", f"a-{number}"), 1.0)
         breaks.note_down("desk-1", 1.5)
         assert not breaks.is_poison(POISON, 2.0)
 
@@ -57,9 +63,11 @@
         A request that crashes its runners is never answered; one that was
         answered since has not crashed those before.
         """
-        breaks = BreakTable()
+        breaks = BrokenAnswerTable()
         for number in range(9):
-            breaks.note(Break(POISON, f"desk-{number}", f"a-{number}"), 1.0)
+            breaks.note(
+                BrokenAnswer(POISON, f"desk-{number}", f"a-{number}"), 1.0
+            )
             if number % 2:
                 breaks.note_down(f"desk-{number}", 1.5)
             breaks.note_answered(POISON)
@@ -75,8 +83,10 @@
         assert len(others | {POISON}) == 4
 
     def test_memory_is_bounded(self):
-        breaks = BreakTable()
+        breaks = BrokenAnswerTable()
         for number in range(20_000):
-            breaks.note(Break(f"f-{number}", f"chat-{number}", "a"), 1.0)
+            breaks.note(
+                BrokenAnswer(f"f-{number}", f"chat-{number}", "a"), 1.0
+            )
             breaks.note_down(f"chat-{number}", 1.0)
         assert len(breaks._breaks) <= 10_001
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -81,7 +81,7 @@
                 if run.fingerprint != POISON:
                     lost.append(run)
         self.waiting = lost + self.waiting
-        self.verdicts = self.quarantine.judge(self.serving)
+        self.verdicts = self.quarantine.compute_verdicts(self.serving)
 
     def _holds_poison(self) -> bool:
         runs = [run for runner in self.runners for run in runner.runs]
@@ -100,7 +100,7 @@
             if run.left <= 0:
                 runner.runs.remove(run)
                 self.done.append(run)
-                self.quarantine.clear(run.fingerprint, self.now)
+                self.quarantine.record_completion(run.fingerprint, self.now)
                 self.verdicts.pop(run.fingerprint, None)
 
     def _place(self) -> None:
@@ -118,7 +118,7 @@
             self.isolated.add(run.fingerprint)
             kept = [r for r in self.runners if r.kept_for is run]
             free = [r for r in self.runners if r.kept_for is None]
-            avoid = self.quarantine.avoid(run.fingerprint)
+            avoid = self.quarantine.find_versions_to_avoid(run.fingerprint)
             free.sort(key=lambda r: (r.version in avoid, len(r.runs)))
             choice = kept or free
             if choice:
@@ -174,7 +174,7 @@
         for n in range(3):
             quarantine.add(Loss(POISON, f"e{n}", "v1", 10.0 + n / 10, 4))
             quarantine.add(Loss(f"r{n}", f"e{n}", "v1", 10.0 + n / 10, 4))
-        assert quarantine.judge({"v1"}) == {POISON: "refused"}
+        assert quarantine.compute_verdicts({"v1"}) == {POISON: "refused"}
 
 
 class TestNotThePoison:
@@ -207,7 +207,7 @@
         for n in range(2):
             quarantine.add(Loss("r1", f"e{n}", "v1", 10.0 * n, 1))
             quarantine.add(Loss(f"other{n}", f"e{n}", "v1", 10.0 * n, 1))
-        assert quarantine.judge({"v1"})["r1"] == "alone"
+        assert quarantine.compute_verdicts({"v1"})["r1"] == "alone"
 
     def test_two_that_always_ran_together_are_not_told_apart(self) -> None:
         """Two gateways send a poison request and another one alike.
@@ -220,42 +220,42 @@
             quarantine.add(Loss(POISON, f"e{n}", "v1", 10.0 * n, 0))
             quarantine.add(Loss("r1", f"e{n}", "v1", 10.0 * n, 0))
         verdicts = {POISON: "alone", "r1": "alone"}
-        assert quarantine.judge({"v1"}) == verdicts
+        assert quarantine.compute_verdicts({"v1"}) == verdicts
         quarantine.add(Loss(POISON, "e9", "v1", 50.0, 0))
-        assert quarantine.judge({"v1"}) == {POISON: "refused"}
+        assert quarantine.compute_verdicts({"v1"}) == {POISON: "refused"}
 
     def test_bad_version_is_blamed(self) -> None:
         quarantine = Quarantine()
         for n in range(3):
             quarantine.add(Loss(f"r{n}", f"e{n}", "v2", 10.0 * n, 0))
-        assert quarantine.blame() == {"v2"}
-        assert quarantine.judge({"v1", "v2"}) == {}
+        assert quarantine.find_faulty_versions() == {"v2"}
+        assert quarantine.compute_verdicts({"v1", "v2"}) == {}
 
     def test_poison_does_not_get_its_version_blamed(self) -> None:
         quarantine = Quarantine()
         for n in range(4):
             quarantine.add(Loss(POISON, f"e{n}", "v2", 10.0 * n, 1))
             quarantine.add(Loss(f"r{n}", f"e{n}", "v2", 10.0 * n, 1))
-        assert quarantine.blame() == frozenset()
-        assert quarantine.judge({"v1", "v2"})[POISON] == "alone"
-        assert quarantine.avoid(POISON) == {"v2"}
+        assert quarantine.find_faulty_versions() == frozenset()
+        assert quarantine.compute_verdicts({"v1", "v2"})[POISON] == "alone"
+        assert quarantine.find_versions_to_avoid(POISON) == {"v2"}
         quarantine.add(Loss(POISON, "e9", "v1", 50.0, 0))
-        assert quarantine.judge({"v1", "v2"})[POISON] == "refused"
+        assert quarantine.compute_verdicts({"v1", "v2"})[POISON] == "refused"
 
     def test_popular_request_is_cleared_by_its_completions(self) -> None:
         """The same check runs everywhere, so it is on each lost runner."""
         quarantine = Quarantine()
         for n in range(4):
             quarantine.add(Loss("popular", f"e{n}", "v1", 10.0 * n, 0))
-            quarantine.clear("popular", 10.0 * n + 5)
-        assert quarantine.judge({"v1"}) == {}
+            quarantine.record_completion("popular", 10.0 * n + 5)
+        assert quarantine.compute_verdicts({"v1"}) == {}
 
     def test_two_losses_on_one_of_two_versions_do_not_convict(self) -> None:
         quarantine = Quarantine()
         for n in range(2):
             quarantine.add(Loss("r1", f"e{n}", "v2", 10.0 * n, 0))
-        assert quarantine.judge({"v1", "v2"}) == {"r1": "alone"}
-        assert quarantine.judge({"v2"}) == {"r1": "refused"}
+        assert quarantine.compute_verdicts({"v1", "v2"}) == {"r1": "alone"}
+        assert quarantine.compute_verdicts({"v2"}) == {"r1": "refused"}
 
 
 class TestMerging:
@@ -270,13 +270,13 @@
             quarantine = Quarantine()
             for loss in rng.sample(losses, len(losses)):
                 quarantine.add(loss)
-            quarantine.clear("r0", 15.0)
-            verdicts.append(quarantine.judge({"v1"}))
+            quarantine.record_completion("r0", 15.0)
+            verdicts.append(quarantine.compute_verdicts({"v1"}))
         assert verdicts[0] == verdicts[1]
 
     def test_conviction_outlives_its_evidence(self) -> None:
         quarantine = Quarantine()
-        quarantine.refuse(POISON)
-        quarantine.clear(POISON, 10.0)
-        quarantine.forget(before=1e9)
-        assert quarantine.judge(()) == {POISON: "refused"}
+        quarantine.record_conviction(POISON)
+        quarantine.record_completion(POISON, 10.0)
+        quarantine.expire(before=1e9)
+        assert quarantine.compute_verdicts(()) == {POISON: "refused"}
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -11,10 +11,10 @@
 )
 
 from lagoonpost.systems.relay import (
-    FIRST_SILENCE,
-    MOST_EARLY,
-    MOST_MOVES,
-    SILENCE_FLOOR,
+    FIRST_TOKEN_SILENCE_SECONDS,
+    MAX_EARLY_TOKENS,
+    MAX_MOVES,
+    MIN_SILENCE_SECONDS,
     Phase,
     Relay,
     silence_limit,
@@ -231,11 +231,11 @@
     @invariant()
     def holds_a_bounded_number_of_early_tokens(self) -> None:
         early = self.relay.early.values()
-        assert sum(map(len, early)) <= MOST_EARLY
+        assert sum(map(len, early)) <= MAX_EARLY_TOKENS
 
     def teardown(self) -> None:
         """From any state, a network without faults ends the answer."""
-        for _ in range(3 * (MOST_MOVES + 2)):
+        for _ in range(3 * (MAX_MOVES + 2)):
             if self.end is not None:
                 return
             if self.asked:
@@ -325,7 +325,7 @@
         relay = _started()
         step(relay, Arrived(1, 0, ["t0"]))
         actions: list[Action] = []
-        for n in range(2, MOST_EARLY + 3):
+        for n in range(2, MAX_EARLY_TOKENS + 3):
             actions += step(relay, Arrived(1, n, [f"t{n}"]))
         assert actions == [Probe(1, _runner("e0"), 1)]
 
@@ -343,7 +343,7 @@
     def test_moves_are_bounded(self) -> None:
         relay = _started()
         actions: list[Action] = []
-        for _ in range(MOST_MOVES):
+        for _ in range(MAX_MOVES):
             step(relay, AttemptFailed(relay.attempt, "failed", "ran"))
             actions = step(relay, Placed(_runner("e1")))
         actions = step(relay, AttemptFailed(relay.attempt, "failed", "ran"))
@@ -352,7 +352,7 @@
 
 class TestSilenceLimit:
     def test_follows_the_usual_gap_above_the_floor(self) -> None:
-        assert silence_limit(0.0, False, False) == FIRST_SILENCE
-        assert silence_limit(0.038, True, False) == SILENCE_FLOOR
-        assert silence_limit(0.1, True, False) > SILENCE_FLOOR
-        assert silence_limit(0.038, True, True) == 2 * SILENCE_FLOOR
+        assert silence_limit(0.0, False, False) == FIRST_TOKEN_SILENCE_SECONDS
+        assert silence_limit(0.038, True, False) == MIN_SILENCE_SECONDS
+        assert silence_limit(0.1, True, False) > MIN_SILENCE_SECONDS
+        assert silence_limit(0.038, True, True) == 2 * MIN_SILENCE_SECONDS
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -29,18 +29,18 @@
     rollouts = [Rollout(ROW, 1) for _ in range(3)]
     for gateway, version, failed, slow, at in outcomes:
         outcome = Outcome("/chat", version, SHARE, failed, slow)
-        rollouts[gateway].note(outcome, at)
+        rollouts[gateway].record(outcome, at)
     reports = []
     for number, rollout in enumerate(rollouts):
-        reports += rollout.close(f"gateway-{number}", 100.0)
+        reports += rollout.close_intervals(f"gateway-{number}", 100.0)
     return reports
 
 
 def judge(reports: list[Report]) -> tuple[bool, str]:
     rollout = Rollout(ROW, 1)
     for report in reports:
-        rollout.hear(report)
-    return rollout.judge(100.0), rollout.describe_evidence()
+        rollout.add_report(report)
+    return rollout.evaluate(100.0), rollout.describe_evidence()
 
 
 class TestRollout:
@@ -86,8 +86,8 @@
     ) -> None:
         rollout = Rollout(ROW, 1)
         for n in range(12):
-            rollout.note(Outcome("/chat", "v2", SHARE, True, False), n / 10)
-        (report,) = rollout.close("gateway-1", INTERVAL_SECONDS)
-        rollout.hear(report)
-        assert not rollout.judge(1.9 * INTERVAL_SECONDS)
-        assert rollout.judge(2.0 * INTERVAL_SECONDS)
+            rollout.record(Outcome("/chat", "v2", SHARE, True, False), n / 10)
+        (report,) = rollout.close_intervals("gateway-1", INTERVAL_SECONDS)
+        rollout.add_report(report)
+        assert not rollout.evaluate(1.9 * INTERVAL_SECONDS)
+        assert rollout.evaluate(2.0 * INTERVAL_SECONDS)
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -24,7 +24,7 @@
 from lagoonpost.systems.shift import (
     Exposure,
     ExposureBounds,
-    ShiftJudge,
+    ShiftEvaluator,
 )
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.stamp import make_stamp
@@ -72,7 +72,7 @@
 ) -> Result:
     """Play one order; both versions fail alike in an outage."""
     rng = Random(seed)
-    judge = ShiftJudge(ShiftOrder("chat", "v2", seconds, 1), 0.0)
+    judge = ShiftEvaluator(ShiftOrder("chat", "v2", seconds, 1), 0.0)
     exposures = [Exposure() for _ in range(gateways)]
     counts: dict[str, VersionCounts] = {}
     heard: dict[str, VersionCounts] = {}
@@ -86,8 +86,8 @@
             is_new = True
         else:
             tries = rng.random() < 0.5
-            is_new = tries and exposure.may_try(BOUNDS, gateways)
-        exposure.note_sent(is_new)
+            is_new = tries and exposure.allows_trial(BOUNDS, gateways)
+        exposure.record_sent(is_new)
         kind = version if is_new and now >= version.bad_from else Version()
         if outage and 4 < now < 7:
             kind = Version(0.6, 0.9)
@@ -149,7 +149,7 @@
         assert result.phase == "complete"
 
     def test_nothing_is_complete_without_answers(self):
-        judge = ShiftJudge(ShiftOrder("chat", "v2", 10.0, 1), 0.0)
+        judge = ShiftEvaluator(ShiftOrder("chat", "v2", 10.0, 1), 0.0)
         assert judge.advance("trial", {}, 60.0) == "trial"
 
 
