--- a/lagoonpost/systems/event.py
+++ b/lagoonpost/systems/event.py
@@ -1,4 +1,4 @@
-"""Events that a gateway's decisions take and the actions they give."""
+"""Events that the gateway's decisions handle and the resulting actions."""
 
 from typing import NamedTuple
 
@@ -8,32 +8,32 @@
 
 
 class Declared(NamedTuple):
-    """A newer declaration is in force."""
+    """A newer declaration, or one with new version shares, is in force."""
 
     declaration: Declaration
 
 
 class Arrived(NamedTuple):
-    """A caller's request passed the checks of form and key."""
+    """A caller's request passed validation and authentication."""
 
     request: RequestRow
 
 
 class Resumed(NamedTuple):
-    """A caller came back for an answer that this runner already holds."""
+    """A caller resumed an answer that is already running on this runner."""
 
     request: RequestRow
     runner: str
 
 
 class Reported(NamedTuple):
-    """A load report came in."""
+    """A runner's load report arrived."""
 
     report: LoadReport
 
 
 class CacheEvents(NamedTuple):
-    """Prefix blocks a runner stored or dropped, late and with gaps."""
+    """Prefix blocks that a runner stored or dropped, late and with gaps."""
 
     runner: str
     stored: tuple[int, ...]
@@ -41,7 +41,7 @@
 
 
 class FirstToken(NamedTuple):
-    """The first part of an answer arrived from the runner."""
+    """The first tokens of an answer arrived from the runner."""
 
     request_id: str
     runner: str
@@ -56,7 +56,7 @@
 
 
 class Finished(NamedTuple):
-    """A request left its runner with its whole answer."""
+    """A runner completed its answer to a request."""
 
     request_id: str
     runner: str
@@ -64,15 +64,15 @@
 
 
 class AttemptFailed(NamedTuple):
-    """A runner failed under a request, which asks for another runner.
+    """An attempt to run a request failed.
 
     Attributes:
-        request_id: The request.
-        runner: The runner that failed.
-        kind: ``refused`` (busy or not running it), ``unreached`` (nothing
-            was sent), ``failed`` (an error answer), ``lost`` (connection
-            cut), ``silent``.
-        retry: Whether the request wants another runner.
+        request_id: Id of the request.
+        runner: Name of the runner that failed.
+        kind: ``refused`` (busy or does not run it), ``unreached``
+            (nothing was sent), ``failed`` (an error answer), ``lost``
+            (connection closed), ``silent``.
+        retry: Whether to dispatch the request to another runner.
     """
 
     request_id: str
@@ -82,25 +82,29 @@
 
 
 class Abandoned(NamedTuple):
-    """The caller is gone, or the request was given up."""
+    """The caller disconnected, or the request was canceled."""
 
     request_id: str
 
 
 class Leaving(NamedTuple):
-    """A runner, or all runners of a host or failure domain, will go."""
+    """Runners are about to shut down.
+
+    Attributes:
+        runners: Names of the runners, such as all those of one host or failure
+            domain.
+    """
 
     runners: frozenset[str]
 
 
 class Quarantined(NamedTuple):
-    """A fingerprint was given a verdict.
+    """The quarantine verdict on a request fingerprint changed.
 
     Attributes:
-        fingerprint: Of the request.
-        verdict: ``alone``, ``refused``, or ``free`` when it is neither
-            any more.
-        avoid: Versions to avoid while it is run alone.
+        fingerprint: Fingerprint of the request.
+        verdict: ``alone``, ``refused``, or ``free`` once neither applies.
+        avoid: Versions to avoid while the request runs alone.
     """
 
     fingerprint: str
@@ -109,13 +113,13 @@
 
 
 class GatewaysChanged(NamedTuple):
-    """The number of gateways that are serving changed."""
+    """The number of serving gateways changed."""
 
     gateways: int
 
 
 class Tick(NamedTuple):
-    """Time passed."""
+    """Periodic timer event."""
 
 
 Event = (
@@ -137,10 +141,14 @@
 
 
 class Dispatch(NamedTuple):
-    """Send the request to this runner now.
+    """Send the request to a runner now.
 
-    ``over`` names the candidates and ``reason`` says why this one, for the
-    routing log line.
+    Attributes:
+        request_id: Id of the request.
+        runner: Name of the chosen runner.
+        version: Version that the runner serves.
+        reason: Why this runner was chosen, for the routing log line.
+        over: Names of the other candidates, for the routing log line.
     """
 
     request_id: str
@@ -151,13 +159,15 @@
 
 
 class Refuse(NamedTuple):
-    """Answer now that the request is not run; come back after a while.
+    """Refuse the request at once; the caller may retry later.
 
     Attributes:
-        request_id: The request.
-        status: HTTP status: 429 over share, 503 no capacity, 422 poison.
-        reason: Short machine word for logs and metrics.
-        retry_after: Seconds until coming back helps, or None if it won't.
+        request_id: Id of the request.
+        status: HTTP status: 429 over the workspace's share, 503 no capacity,
+            422 poison.
+        reason: Short machine-readable reason for logs and metrics.
+        retry_after: Seconds after which a retry may succeed, or None if it
+            never will.
     """
 
     request_id: str
--- a/lagoonpost/systems/evidence.py
+++ b/lagoonpost/systems/evidence.py
@@ -1,28 +1,28 @@
-"""Tests one after another whether a new version is worse than the old one.
-
-Pattern of load: two versions run side by side on one route, the new one with
-anything from one request in a hundred to nine in ten. Each request is bad
-or not (failed, or slower than its target), and the common rate of bad ones
-changes all the time: bursts, reclaims, outages behind both versions.
-
-What goes wrong without it: a fixed limit on failures takes good versions
-back in every outage, and looking again and again at an ordinary test finds a
-"significant" difference sooner or later. Waiting for enough requests before
-one look lets a bad version harm all of them.
-
-How it decides: a gateway draws the version of each request at random, with
-a share that it knows. Were the new version no worse, each bad request would
-be the new version's with just that chance, whatever the rate of bad ones
-was at the moment, so that an outage behind both versions cancels out. The
-likelihood ratio of a worse version against a tolerable one is multiplied up
-over all bad requests of all gateways. A version may turn bad at any time, so
-the product may start at any interval, each with an equal part of the weight
-(Shiryaev-Roberts). With a tolerable version the expectation of this sum
-never exceeds 1, so that, by Ville's inequality, it ever reaches
-``1 / FALSE_TRIPS`` with at most that probability, however often one looks.
-
-Only numbers of bad requests are needed. They only grow, so that gateways can
-gossip them and merge them in any order.
+"""Sequential test of whether a new version is worse than the old one.
+
+Load pattern: two versions run side by side on one route, the new one with
+anything from one request in a hundred to nine in ten. Each request is bad or
+not (failed, or slower than its target), and the common rate of bad requests
+changes all the time: bursts, reclaims, outages of both versions.
+
+A fixed limit on failures would roll back good versions in every outage.
+Repeating an ordinary significance test finds a "significant" difference sooner
+or later. Waiting for enough requests before a single test lets a bad version
+harm all of them.
+
+A gateway chooses the version of each request at random, with a known share. If
+the new version is no worse, each bad request belongs to it with just that
+probability, whatever the current rate of bad requests, so an outage of both
+versions cancels out. The likelihood ratio of a worse version against a
+tolerable one is multiplied over all bad requests of all gateways. A version
+may turn bad at any time, so the product may start at any interval, each start
+with equal weight (Shiryaev-Roberts). With a tolerable version the expectation
+of this sum never exceeds 1. By Ville's inequality it therefore ever reaches
+``1 / FALSE_ROLLBACK_PROBABILITY`` with at most that probability, however often
+it is tested.
+
+Only counts of bad requests are needed. They only grow, so gateways can gossip
+them and merge them in any order.
 """
 
 from collections.abc import Iterable
@@ -30,30 +30,31 @@
 from typing import NamedTuple
 
 FALSE_ROLLBACK_PROBABILITY = 0.005
-"""Good versions taken back by chance, over all routes and both questions.
+"""Probability of rolling back a good version, over all routes and criteria.
 
-The users allow 1 in 100; half is kept for gateways that see the gossiped
-intervals in another order and so compute slightly different sums.
+The requirement is 1 in 100; half of it is reserved for gateways that receive
+the gossiped intervals in another order and so compute slightly different sums.
 """
 TOLERABLE_RISK_RATIO = 1.5
-"""Risk ratio that is not worth a take-back, such as of a cold cache."""
+"""Risk ratio that does not justify a rollback, such as from a cold cache."""
 WORSE_RISK_RATIOS = (4.0, 30.0)
-"""Risk ratios looked for: a slower version, and one that mostly fails.
+"""Risk ratios to detect: a slower version, and one that mostly fails.
 
-The mean of both sums is compared: whichever fits better costs ln 2 more.
+The mean of both sums is tested, at a cost of ln 2 against the sum of the
+better fitting ratio.
 """
 INTERVAL_SECONDS = 2.0
-"""Between two looks: the time in which gossip reaches all gateways."""
+"""Time between two tests, in which gossip reaches all gateways."""
 
 
 class Counts(NamedTuple):
     """Bad requests on one route and gateway in one interval.
 
     Attributes:
-        share: Chance with which the new version was drawn for them, which
-            is that at their start and not that at their end.
-        new_bad: Those drawn for the new version.
-        old_bad: Those drawn for the old one.
+        share: Probability with which the new version was chosen for them, at
+            their start and not at their end.
+        new_bad: Bad requests of the new version.
+        old_bad: Bad requests of the old version.
     """
 
     share: float
@@ -62,7 +63,11 @@
 
 
 class Evidence(NamedTuple):
-    """Logarithms of the sums, one for each of ``WORSE``."""
+    """Evidence against a new version.
+
+    Attributes:
+        log_sums: Logarithm of the sum for each of ``WORSE_RISK_RATIOS``.
+    """
 
     log_sums: tuple[float, ...] = (-inf,) * len(WORSE_RISK_RATIOS)
 
@@ -70,13 +75,13 @@
 def add_interval(
     evidence: Evidence, ratios: Iterable[tuple[float, ...]], intervals: float
 ) -> Evidence:
-    """Return ``evidence`` after one interval.
+    """Return ``evidence`` with one more interval added.
 
     Args:
-        evidence: Before the interval.
-        ratios: `weigh` of each gateway's counts.
-        intervals: Intervals that the whole move lasts at most; the weight
-            of one start is its inverse.
+        evidence: Evidence before the interval.
+        ratios: `compute_log_ratios` of each gateway's counts.
+        intervals: Maximum number of intervals of the whole move; each start
+            has its inverse as weight.
     """
     start = -log(intervals)
     totals = [0.0] * len(WORSE_RISK_RATIOS)
@@ -90,17 +95,19 @@
     )
 
 
-def is_worse(evidence: Evidence, questions: int) -> bool:
+def is_worse(evidence: Evidence, criteria: int) -> bool:
     """Return whether the new version is worse.
 
     Args:
-        evidence: Evidence on one question.
-        questions: Questions asked of the move: routes times two.
+        evidence: Evidence by one criterion.
+        criteria: Number of tests of the move: routes times criteria.
     """
-    return _average(evidence) >= log(questions / FALSE_ROLLBACK_PROBABILITY)
+    return _compute_log_mean(evidence) >= log(
+        criteria / FALSE_ROLLBACK_PROBABILITY
+    )
 
 
-def _average(evidence: Evidence) -> float:
+def _compute_log_mean(evidence: Evidence) -> float:
     total = -inf
     for value in evidence.log_sums:
         total = _add_logs(total, value)
@@ -108,7 +115,7 @@
 
 
 def compute_log_ratios(counts: Counts) -> tuple[float, ...]:
-    """Return the log likelihood ratio of each of ``WORSE``."""
+    """Return the log likelihood ratio for each of ``WORSE_RISK_RATIOS``."""
     if not 0 < counts.share < 1:
         return (0.0,) * len(WORSE_RISK_RATIOS)
     tolerable = _log_likelihood(counts, TOLERABLE_RISK_RATIO)
--- a/lagoonpost/systems/gateway.py
+++ b/lagoonpost/systems/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's one entry point for decisions: events in, actions out."""
+"""The gateway's entry point for decisions: events in, actions out."""
 
 from collections.abc import Callable
 from random import Random
@@ -56,14 +56,13 @@
 def decide(
     tables: GatewayTables, event: Event, now: float, rng: Random
 ) -> list[Action]:
-    """Update ``tables`` by ``event`` and return what to do.
+    """Update ``tables`` with ``event`` and return the resulting actions.
 
     Args:
-        tables: The gateway's state; changed in place.
-        event: What happened.
+        tables: State of the gateway; changed in place.
+        event: The event to handle.
         now: Time of the event in seconds of a monotonic clock.
-        rng: Seeded generator; the same seed and events give the same
-            actions.
+        rng: Seeded generator; the same seed and events give the same actions.
 
     Returns:
         Actions in the order in which to carry them out.
@@ -105,7 +104,7 @@
 
 
 def _place_runners(tables: GatewayTables) -> None:
-    """Bring each service's runners up to date, keeping known loads."""
+    """Rebuild each service's runner tables, keeping known loads."""
     wanted: dict[str, dict[str, list[Runner]]] = {}
     for runner in tables.declaration.runners:
         if runner.name not in tables.leaving:
@@ -127,7 +126,7 @@
         pool.count_slots()
 
 
-def _peer(
+def _update_gateways(
     tables: GatewayTables, event: GatewaysChanged, now: float, rng: Random
 ) -> list[Action]:
     tables.gateways = event.gateways
@@ -139,16 +138,16 @@
     tables: GatewayTables, event: Leaving, now: float, rng: Random
 ) -> list[Action]:
     tables.leaving |= event.runners
-    hit = [
+    affected = [
         pool
         for pool in tables.pools.values()
         if not event.runners.isdisjoint(pool.loads)
     ]
-    if hit:
-        # Others take the place of those that leave our subset.
+    if affected:
+        # Other runners replace the leaving ones in this gateway's subset.
         _place_runners(tables)
     actions: list[Action] = []
-    for pool in hit:
+    for pool in affected:
         actions += review(pool, now, rng)
     return actions
 
@@ -182,7 +181,7 @@
         return []
     tables.requests[event.request.id] = event.request
     load = pool.loads.get(event.runner)
-    # A runner outside of this gateway's subset is not counted here.
+    # Requests at a runner outside this gateway's subset are not counted.
     if load is not None:
         attach(pool, event.request, load, now)
     return []
@@ -198,7 +197,7 @@
     return []
 
 
-def _note_cache(
+def _update_cache(
     tables: GatewayTables, event: CacheEvents, now: float, rng: Random
 ) -> list[Action]:
     for pool in tables.pools.values():
@@ -277,8 +276,8 @@
 
 
 def _find_pool(tables: GatewayTables, request_id: str) -> Pool | None:
-    # The caller may have gone just before: late news of its request is
-    # no fault.
+    # The caller may have disconnected just before, so an event of an unknown
+    # request is not an error.
     request = tables.requests.get(request_id)
     return tables.pools[request.service] if request else None
 
@@ -286,12 +285,12 @@
 _Handler = Callable[[GatewayTables, Any, float, Random], list[Action]]
 _HANDLERS: dict[type[Event], _Handler] = {
     Declared: _declare,
-    GatewaysChanged: _peer,
+    GatewaysChanged: _update_gateways,
     Leaving: _leave,
     Arrived: _arrive,
     Resumed: _resume,
     Reported: _report,
-    CacheEvents: _note_cache,
+    CacheEvents: _update_cache,
     FirstToken: _begin,
     Progress: _progress,
     Finished: _finish,
--- a/lagoonpost/systems/gateway_tables.py
+++ b/lagoonpost/systems/gateway_tables.py
@@ -1,4 +1,4 @@
-"""All that one gateway's decisions know."""
+"""State on which one gateway bases its decisions."""
 
 from lagoonpost.systems.pool import Pool
 from lagoonpost.tables.entity import Declaration
@@ -6,17 +6,18 @@
 
 
 class GatewayTables:
-    """All that one gateway's decisions know.
+    """State on which one gateway bases its decisions.
 
     Attributes:
-        name: The gateway's name, by which it chooses its runners.
-        gateways: How many gateways there are; 1 while unknown.
+        name: The gateway's name, from which its runner subset is derived.
+        gateways: Number of gateways; 1 while unknown.
         declaration: The declaration in force.
-        requests: Requests that are waiting or running, by id.
-        pools: State of each service.
-        leaving: Names of runners that will go.
-        verdicts: Verdicts on fingerprints.
-        avoid: Versions that a suspect fingerprint should not run on.
+        requests: Waiting and running requests by id.
+        pools: State of each service by name.
+        leaving: Names of runners that are about to shut down.
+        verdicts: Quarantine verdicts by request fingerprint.
+        avoid: Versions that a suspect request should not run on, by request
+            fingerprint.
     """
 
     def __init__(self, name: str = "", gateways: int = 1) -> None:
--- a/lagoonpost/systems/isolation.py
+++ b/lagoonpost/systems/isolation.py
@@ -1,12 +1,13 @@
 """Runs suspect requests alone and refuses convicted ones.
 
-Pattern of load: a few requests that may crash their runners, among many that
-don't, over several gateways. Sent beside others each of them takes those down
-as well; sent by two gateways to one runner they look alike.
-
-A suspect waits ``HEARD_SECONDS`` for what other gateways know, and then has a
-runner to itself, by its turn among all suspects. The verdicts themselves are
-worked out in lagoonpost.systems.quarantine.
+Load pattern: a few requests that may crash their runners among many that do
+not, over several gateways. A poison request that shares its runner takes the
+others down as well, and two suspects that two gateways send to the same runner
+cannot be distinguished.
+
+A suspect waits ``GOSSIP_SECONDS`` for the evidence of other gateways and then
+gets a runner to itself, chosen by its rank among all suspects. The verdicts
+are computed in lagoonpost.systems.quarantine.
 """
 
 from random import Random
@@ -18,14 +19,14 @@
 from lagoonpost.tables.request import RequestRow
 
 POISON_STATUS = 422
-# Facts are known to all in 0.18 s at worst of 72 members (bench/gossip).
+# Gossip reaches all of 72 members within 0.18 s at worst (bench/gossip).
 GOSSIP_SECONDS = 0.25
 
 
 def apply_quarantine(
     tables: GatewayTables, event: Quarantined, now: float, rng: Random
 ) -> list[Action]:
-    """Take in a verdict and return what follows for waiting requests."""
+    """Apply a verdict and return the actions for waiting requests."""
     if event.verdict == "free":
         tables.verdicts.pop(event.fingerprint, None)
         return _release_all(tables, event.fingerprint, now, rng)
@@ -51,7 +52,7 @@
         pool = tables.pools[request.service]
         if request.id in pool.flights:
             continue
-        # A new suspect changes the turns of those that wait already.
+        # A new suspect changes the rank of the suspects that already wait.
         if request.fingerprint == fingerprint or request.id in pool.alone:
             isolate(tables, pool, request, now)
     return dispatch_all(tables, now, rng)
@@ -73,7 +74,7 @@
 def isolate(
     tables: GatewayTables, pool: Pool, request: RequestRow, now: float
 ) -> None:
-    """Have a suspect request wait for a runner of its own."""
+    """Queue a suspect request for a runner of its own."""
     suspects = sorted(
         fingerprint
         for fingerprint, verdict in tables.verdicts.items()
@@ -81,8 +82,8 @@
     )
     moved = pool.moved.get(request.id)
     accepted = moved is not None and moved.accepted
-    # Other gateways' suspects of the same lost runner are not known yet, and
-    # one of them would be sent to the same next runner by its gateway.
+    # Other gateways' suspects of the same lost runner are not known yet; their
+    # gateway would send them to the same next runner.
     ready = now + GOSSIP_SECONDS
     if moved is not None and request.id in pool.alone:
         ready = moved.ready
@@ -91,18 +92,18 @@
         tables.avoid.get(request.fingerprint, frozenset()),
         suspects.index(request.fingerprint),
     )
-    # A request that had begun may wait for its runner past the time by
-    # which its first token was due; it must not be refused as late then.
+    # A request that had started may wait for its runner past the deadline for
+    # its first token; it must not be refused as late then.
     pool.moved[request.id] = Moved(request, "", accepted, ready)
 
 
 def apply_verdict(
     tables: GatewayTables, pool: Pool, request: RequestRow, now: float
 ) -> list[Refuse]:
-    """Refuse or isolate a request that wants another runner, if judged."""
+    """Refuse or isolate a request due for a retry if it has a verdict."""
     verdict = tables.verdicts.get(request.fingerprint)
     if verdict == "refused":
-        # It would take the next runner down as well.
+        # The request would crash the next runner as well.
         forget(pool, request.id)
         return [Refuse(request.id, POISON_STATUS, "poison", None)]
     if verdict == "alone":
@@ -113,7 +114,7 @@
 def dispatch_all(
     tables: GatewayTables, now: float, rng: Random
 ) -> list[Action]:
-    """Send what can be sent now of every service."""
+    """Dispatch the waiting requests of every service."""
     actions: list[Action] = []
     for pool in tables.pools.values():
         actions += dispatch_waiting(pool, now, rng)
--- a/lagoonpost/systems/migration.py
+++ b/lagoonpost/systems/migration.py
@@ -1,15 +1,15 @@
-"""Which streams leave a runner before it goes, when, and where to.
-
-Pattern of load: a reclaim takes all reclaimable runners of a failure domain
-with two seconds of notice, while each of them is in the middle of some ten
-long drafts. A draft that may run only once is lost with its runner, and one
-that may be resumed has its whole prompt read again at runners that have just
-got all of the lost ones' work. Copying a run's memory takes some ten
-milliseconds, so it is moved.
-
-A copy moves bytes and takes a place at another runner, and many drafts end
-within the notice. So runs are moved as late as is safe, and only those that
-are still there by then.
+"""Which streams to move off a runner before it shuts down, when and where.
+
+Load pattern: a reclaim shuts down all reclaimable runners of a failure domain
+with two seconds of notice, while each of them serves some ten long drafts. A
+draft that may run only once is lost with its runner. A resumable draft has its
+whole prompt prefilled again on runners that have just taken over all other
+requests of the lost ones. Copying the KV cache of a stream takes some ten
+milliseconds, so the stream is migrated instead.
+
+A copy transfers bytes and occupies a slot of another runner, and many drafts
+finish within the notice period. Streams are therefore migrated as late as is
+safe, and only those still running by then.
 """
 
 from collections.abc import Iterable
@@ -19,20 +19,25 @@
 from lagoonpost.tables.endpoint import Endpoint
 
 MIGRATION_LEAD_SECONDS = 1.0
-"""Time before a runner goes at which its runs are moved: the copies of 64 runs
-of 12,000 tokens take 0.4 to 0.8 s on one link, one after the other."""
+"""Time before a runner's shutdown at which its streams are migrated.
+
+The copies of 64 streams of 12,000 tokens take 0.4 to 0.8 s on one link, one
+after the other.
+"""
 MIN_PROMPT_TOKENS = 1500
-"""Prompt tokens from which a stream that may be resumed is moved too: shorter
-ones are read again in the time that a copy and its calls take."""
+"""Prompt tokens from which a resumable stream is migrated too.
+
+Shorter prompts are prefilled again in the time that a copy and its calls take.
+"""
 
 
 class Candidate(NamedTuple):
-    """A runner that may take a run.
+    """A runner to which a stream may be migrated.
 
     Attributes:
-        endpoint: The runner.
-        running: Requests that it works on, those on their way included.
-        suspect: Whether it could not be reached lately.
+        endpoint: Endpoint of the runner.
+        running: Number of its requests, including those being sent to it.
+        suspect: Whether it was recently unreachable.
     """
 
     endpoint: Endpoint
@@ -41,49 +46,57 @@
 
 
 def is_worth_migrating(idempotent: bool, prompt: int) -> bool:
-    """Tell whether a stream is moved away from a runner that goes.
+    """Return whether to migrate a stream off a runner that shuts down.
 
     Args:
-        idempotent: Whether another runner may run it again.
-        prompt: Tokens that it would have to read again.
+        idempotent: Whether another runner may run the request again.
+        prompt: Prompt tokens that would have to be prefilled again.
     """
     return not idempotent or prompt >= MIN_PROMPT_TOKENS
 
 
-def compute_migration_delay(gone: float, now: float) -> float:
-    """Return the seconds until runs are to be moved.
+def compute_migration_delay(shutdown_at: float, now: float) -> float:
+    """Return the seconds until the streams are to be migrated.
 
     Args:
-        gone: Time at which the runner goes.
+        shutdown_at: Time at which the runner shuts down.
         now: Time of the same clock.
     """
-    return max(0.0, gone - MIGRATION_LEAD_SECONDS - now)
+    return max(0.0, shutdown_at - MIGRATION_LEAD_SECONDS - now)
 
 
 def choose_target(
-    places: Iterable[Candidate], source: Endpoint, rng: Random
+    candidates: Iterable[Candidate], source: Endpoint, rng: Random
 ) -> Endpoint | None:
-    """Choose where a run goes on: at the least busy runner.
+    """Choose the least busy runner as the target of a migration.
 
-    The number of runs side by side sets the pace of each; what waits to be
-    read hardly matters, as a moved run has nothing to read.
+    The number of concurrent streams determines the pace of each stream. Queued
+    prefills hardly matter, as a migrated stream needs none.
 
     Args:
-        places: Runners of the service.
-        source: Where the run is; only runners of the same version of the
-            service can use its memory.
-        rng: Breaks ties, so that gateways do not all choose alike.
+        candidates: Runners of the service.
+        source: Endpoint of the current runner; only runners of the same
+            version of the service can use its KV cache.
+        rng: Breaks ties, so that gateways do not all choose the same target.
+
+    Returns:
+        Endpoint of the target, or None if no runner has a free slot.
     """
     free = [
-        each
-        for each in places
-        if each.endpoint.id != source.id
-        and each.endpoint.version == source.version
-        and each.running < each.endpoint.slots
+        candidate
+        for candidate in candidates
+        if candidate.endpoint.id != source.id
+        and candidate.endpoint.version == source.version
+        and candidate.running < candidate.endpoint.slots
     ]
     if not free:
         return None
     best = min(
-        free, key=lambda each: (each.suspect, each.running, rng.random())
+        free,
+        key=lambda candidate: (
+            candidate.suspect,
+            candidate.running,
+            rng.random(),
+        ),
     )
     return best.endpoint
--- a/lagoonpost/systems/poison.py
+++ b/lagoonpost/systems/poison.py
@@ -1,17 +1,17 @@
-"""Requests that crash whichever runner begins them.
-
-Pattern of load: one caller sends the same request again and again, at any
-gateway, and each runner that begins it is gone for seconds. Retries make it
-worse: each of them costs one more runner, and everything that ran beside.
-
-Requests are told apart by what they ask for and who asks, as each attempt has
-an id of its own. An answer that breaks off counts once its runner turns out to
-be down, as answers also get lost where nothing crashed, and a popular question
-would be convicted for that. After three the request is not sent any more. An
-innocent one that ran beside a crash breaks once, and is answered next time:
-an answer clears a request of the breaks before it, and a crash counts once
-however many callers asked the same. Without both, a question that many ask
-was refused for a minute after one crash.
+"""Identifies requests that crash any runner that starts them.
+
+Load pattern: one caller sends the same request again and again, through any
+gateway, and each runner that starts it is unavailable for seconds. Retries
+make it worse: each costs another runner and every request running on it.
+
+Requests are identified by content and caller, as each attempt has an id of its
+own. A broken answer counts only once its runner turns out to be down: answers
+are also lost without a crash, and a popular request would be convicted for
+that. After three breaks the request is not sent any more. An innocent request
+that ran next to a crash breaks once and is answered the next time: an answer
+clears the request's earlier breaks, and a crash counts once however many
+callers sent the same request. Without these two rules, one crash would refuse
+a popular request for a minute.
 """
 
 from typing import NamedTuple
@@ -19,24 +19,32 @@
 import xxhash
 
 CRASH_DETECTION_SECONDS = 4.0
-"""Time within which a runner that crashed is found to be down: a send to it,
-or three of its heartbeats."""
+"""Time within which a crashed runner is found to be down.
+
+Detected by a request to it or by three missed heartbeats.
+"""
 BREAKS_TO_REFUSE = 3
-"""Breaks after which a request is not sent: the third may be no chance."""
+"""Breaks after which a request is not sent any more.
+
+A third break is unlikely to be a coincidence.
+"""
 BREAK_TTL_SECONDS = 60.0
-"""How long breaks count; a runner that was mended by then may try again."""
+"""Time for which breaks count.
+
+A runner that was repaired in the meantime may run the request again.
+"""
 MAX_PENDING_PER_RUNNER = 100
-"""Breaks of a runner that are remembered until it is known to be down."""
+"""Breaks kept per runner until it is known to be down."""
 MAX_REQUESTS = 10_000
-"""Requests that are remembered; the oldest are forgotten first."""
+"""Requests with breaks that are kept; the oldest are dropped first."""
 
 
 class BrokenAnswer(NamedTuple):
-    """One answer that broke off.
+    """An answer that was cut off.
 
     Attributes:
-        fingerprint: Identifies the request in whatever attempt.
-        runner: Where it ran.
+        fingerprint: Fingerprint of the request, the same for all its attempts.
+        runner: Id of the runner.
         attempt: Id of the attempt.
     """
 
@@ -46,16 +54,16 @@
 
 
 class BrokenAnswerTable:
-    """Breaks by request, own ones and those that peers told of."""
+    """Broken answers by request, seen here or reported by peers."""
 
     def __init__(self) -> None:
-        self._open: dict[str, dict[BrokenAnswer, float]] = {}
+        self._pending: dict[str, dict[BrokenAnswer, float]] = {}
         self._breaks: dict[str, dict[BrokenAnswer, float]] = {}
 
-    def note(self, seen: BrokenAnswer, now: float) -> None:
-        """Note a break; the same one counts once however often it comes."""
-        breaks = self._open.setdefault(seen.runner, {})
-        breaks[seen] = now
+    def note(self, broken: BrokenAnswer, now: float) -> None:
+        """Record a broken answer; duplicates count once."""
+        breaks = self._pending.setdefault(broken.runner, {})
+        breaks[broken] = now
         oldest = next(iter(breaks))
         if (
             len(breaks) > MAX_PENDING_PER_RUNNER
@@ -64,28 +72,28 @@
             del breaks[oldest]
 
     def note_down(self, runner: str, now: float) -> None:
-        """Count the breaks of a runner that turned out to be down."""
+        """Count the broken answers of a runner that is found to be down."""
         counted = set()
-        for seen, at in self._open.pop(runner, {}).items():
+        for broken, at in self._pending.pop(runner, {}).items():
             if (
                 now - at <= CRASH_DETECTION_SECONDS
-                and seen.fingerprint not in counted
+                and broken.fingerprint not in counted
             ):
-                counted.add(seen.fingerprint)
-                self._breaks.setdefault(seen.fingerprint, {})[seen] = now
+                counted.add(broken.fingerprint)
+                self._breaks.setdefault(broken.fingerprint, {})[broken] = now
         while len(self._breaks) > MAX_REQUESTS:
             del self._breaks[next(iter(self._breaks))]
 
     def note_answered(self, fingerprint: str) -> None:
-        """Clear a request that a runner has just answered whole."""
+        """Clear a request that a runner has answered completely."""
         self._breaks.pop(fingerprint, None)
-        for breaks in self._open.values():
+        for breaks in self._pending.values():
             cleared = [b for b in breaks if b.fingerprint == fingerprint]
-            for seen in cleared:
-                del breaks[seen]
+            for broken in cleared:
+                del breaks[broken]
 
     def is_poison(self, fingerprint: str, now: float) -> bool:
-        """Tell whether a request is not to be sent any more."""
+        """Return whether a request must not be sent any more."""
         breaks = self._breaks.get(fingerprint)
         if not breaks:
             return False
@@ -94,7 +102,7 @@
 
 
 def make_fingerprint(workspace: str, target: str, body: bytes) -> str:
-    """Return what identifies a request in whatever attempt."""
+    """Return the fingerprint of a request, the same for all its attempts."""
     digest = xxhash.xxh3_64(body)
     digest.update(f"{workspace} {target}".encode())
     return digest.hexdigest()
--- a/lagoonpost/systems/quarantine.py
+++ b/lagoonpost/systems/quarantine.py
@@ -1,33 +1,36 @@
-"""Which requests crash the runners that run them, told from bad luck.
+"""Identifies the requests that crash their runners.
 
-Pattern of load: now and then one request crashes each runner that runs it
-and its caller sends it again, through any gateway. Without a verdict every
-resend and every retry of ours costs one more runner, and the requests
-beside it are cut off each time. With too quick a verdict, a reclaim or a
-bad version gets innocent requests refused, or holds a runner free for each
-request that was on the lost one.
+Load pattern: now and then one request crashes each runner that runs it, and
+its caller resends it through any gateway. Without a verdict every resend and
+every retry costs another runner, and the requests running next to it are lost
+each time. If the verdict comes too quickly, a reclaim or a faulty version gets
+innocent requests refused, or reserves a runner for each request of the lost
+one.
 
-The evidence is pairs of a request's fingerprint and the runner that was
-lost under it, without notice. Pairs only add up, so gateways may merge
-them in any order and judge alike. Thresholds:
+The evidence consists of pairs of a request's fingerprint and the runner that
+was lost without notice while running it. Pairs are only ever added, so
+gateways can merge them in any order and reach the same verdict. Thresholds:
 
 - Each request on a lost runner runs alone next, until it completes. In
-  played fleets this cost 2.0 runners for each poison request. Isolating
-  only those with a chance of a third or more cost 2.5 to 3.0, and on five
-  busy runners the callers' mean wait rose from 17 s to 41 s: there a lost
-  runner costs more than a runner that is kept free for a while.
-- Two lost runners, one of them lost with nothing else on it, convict. So
-  do ``MOST_LOSSES`` runners at all, unless another request was on all of
-  them: that an innocent request meets three unannounced losses has a chance
-  of 1e-9, at 50 of 2 800 hosts a day and an hour of drafting and resending.
-- Runners lost within ``WAVE_SECONDS`` with no request in common were not
-  crashed by one request: hosts go in waves, a poison request one at a time.
-- A version is to blame if ``BLAME`` of its runners were lost and no two
-  requests account for them. Until then, one version's losses convict no
-  request that another version could have run: a suspect goes to another
-  version (``avoid``), which settles it. ``MOST_ON_VERSION`` ends the case
-  of a placement that has no room there.
-- A request that completed is cleared of what came before.
+  simulated fleets this cost 2.0 runners for each poison request. Isolating
+  only requests with a probability of a third or more cost 2.5 to 3.0, and on
+  five busy runners the callers' mean wait rose from 17 s to 41 s: there a lost
+  runner costs more than a runner that is reserved for a while.
+- Two lost runners, one of them lost with nothing else on it, convict a
+  request. So do ``LOSSES_TO_CONVICT`` lost runners in any case, unless another
+  request was on all of them: the probability that an innocent request meets
+  three unannounced losses is 1e-9, at 50 of 2 800 hosts a day and an hour of
+  drafting and resending.
+- Runners lost within ``WAVE_SECONDS`` of each other with no request in common
+  were not crashed by one request: hosts are reclaimed in waves, a poison
+  request crashes one runner at a time.
+- A version is at fault if ``LOSSES_TO_BLAME_VERSION`` of its runners were lost
+  and no two requests explain the losses. Until then, losses on a single
+  version convict no request that another version could run: a suspect is sent
+  to another version (``find_versions_to_avoid``), which decides the case.
+  ``LOSSES_TO_CONVICT_ON_ONE_VERSION`` decides it if no runner of another
+  version is free.
+- A request that completes is cleared of its earlier losses.
 """
 
 from collections.abc import Iterable, Mapping
@@ -39,20 +42,20 @@
 LOSSES_TO_CONVICT = 3
 LOSSES_TO_CONVICT_ON_ONE_VERSION = 6
 LOSSES_TO_BLAME_VERSION = 3
-# A wave is noticed by closed connections within milliseconds, or by the
-# silence limit and a probe within about two seconds.
+# The losses of a wave are detected within milliseconds by closed connections,
+# or within about two seconds by the silence limit and a probe.
 WAVE_SECONDS = 2.0
 
 
 class Loss(NamedTuple):
-    """A runner was lost without notice while it ran a request.
+    """A runner that was lost without notice while it ran a request.
 
     Attributes:
-        fingerprint: Of the request.
+        fingerprint: Fingerprint of the request.
         runner: Name of the lost runner.
-        version: Version that it ran.
+        version: Version that the runner served.
         at: Time in seconds since the epoch.
-        beside: Requests known to have run beside it.
+        concurrent: Number of other requests known to run on it at the time.
     """
 
     fingerprint: str
@@ -63,7 +66,7 @@
 
 
 class Quarantine:
-    """What is known of lost runners and of the requests on them."""
+    """Evidence on lost runners and on the requests that ran on them."""
 
     def __init__(self) -> None:
         self._losses: dict[tuple[str, str], Loss] = {}
@@ -71,37 +74,38 @@
         self._refused: set[str] = set()
 
     def add(self, loss: Loss) -> bool:
-        """Take a loss in and tell whether it is news."""
+        """Add a loss and return whether it changed the evidence."""
         key = (loss.fingerprint, loss.runner)
         known = self._losses.get(key)
         if known is not None and known <= loss:
             return False
-        # Of two reports of one loss the smaller holds, in any order.
+        # Of two reports of one loss the smaller is kept, so that the order of
+        # reports does not matter.
         self._losses[key] = loss
         return True
 
     def record_completion(self, fingerprint: str, at: float) -> None:
-        """Take in that a request completed at time ``at``."""
+        """Record that a request completed at time ``at``."""
         known = self._cleared.get(fingerprint, -inf)
         self._cleared[fingerprint] = max(known, at)
 
     def record_conviction(self, fingerprint: str) -> None:
-        """Take in that a request was convicted, here or elsewhere."""
+        """Record that a request was convicted, here or at another gateway."""
         self._refused.add(fingerprint)
 
     def is_convicted(self, fingerprint: str) -> bool:
-        """Tell whether a conviction was taken in."""
+        """Return whether a conviction was recorded."""
         return fingerprint in self._refused
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether a completion of this request is worth telling."""
+        """Return whether a completion of this request is worth publishing."""
         return any(loss.fingerprint == fingerprint for loss in self._counted())
 
     def compute_verdicts(self, serving: Iterable[str]) -> dict[str, Verdict]:
-        """Return the verdict on each request that has one.
+        """Return the verdicts by request fingerprint.
 
         Args:
-            serving: Versions that new requests can be sent to.
+            serving: Versions that accept new requests.
         """
         case = _Case(self._counted(), frozenset(serving))
         refused = case.find_convicted() | self._refused
@@ -120,11 +124,11 @@
         )
 
     def find_faulty_versions(self) -> frozenset[str]:
-        """Return the versions that crash on their own."""
+        """Return the versions that crash regardless of the request."""
         return _Case(self._counted(), frozenset()).blamed
 
     def expire(self, before: float) -> None:
-        """Drop what happened before a time; convictions stay."""
+        """Drop evidence older than ``before``; convictions are kept."""
         for key, loss in list(self._losses.items()):
             if loss.at < before:
                 del self._losses[key]
@@ -141,7 +145,7 @@
 
 
 class _Case:
-    """The losses that count, arranged by request and by runner."""
+    """The losses that count, indexed by request and by runner."""
 
     def __init__(self, losses: list[Loss], serving: frozenset[str]) -> None:
         self.by_request: dict[str, list[Loss]] = {}
@@ -162,15 +166,16 @@
         )
 
     def find_suspects(self, convicted: frozenset[str]) -> frozenset[str]:
-        """Return the requests that may be why a runner was lost.
+        """Return the requests that may have caused the loss of a runner.
 
-        Once one is convicted, those that were beside it are free again.
+        Once a request is convicted, the others on its lost runners are
+        cleared.
         """
         return frozenset(
             fingerprint
             for fingerprint, losses in self.by_request.items()
             if any(
-                self._counts(loss)
+                self._is_relevant(loss)
                 and not convicted.intersection(
                     other.fingerprint for other in self.on_runner[loss.runner]
                 )
@@ -180,25 +185,26 @@
 
     def _is_convicted(self, losses: list[Loss]) -> bool:
         losses = [loss for loss in losses if loss.version not in self.blamed]
-        most = LOSSES_TO_CONVICT_ON_ONE_VERSION
+        threshold = LOSSES_TO_CONVICT_ON_ONE_VERSION
         if self._excludes_version(losses):
-            most = LOSSES_TO_CONVICT
-        shared = most == LOSSES_TO_CONVICT and self._is_shared(losses)
-        if len(losses) >= most and not shared:
+            threshold = LOSSES_TO_CONVICT
+        shared = threshold == LOSSES_TO_CONVICT and self._is_shared(losses)
+        if len(losses) >= threshold and not shared:
             return True
-        telling = [loss for loss in losses if self._counts(loss)]
+        relevant = [loss for loss in losses if self._is_relevant(loss)]
         return (
-            len(telling) >= 2
-            and self._excludes_version(telling)
-            and any(self._was_alone(loss.runner) for loss in telling)
+            len(relevant) >= 2
+            and self._excludes_version(relevant)
+            and any(self._ran_alone(loss.runner) for loss in relevant)
         )
 
     def _is_shared(self, losses: list[Loss]) -> bool:
-        """Tell whether another request was on all of these runners too.
+        """Return whether another request was on all of these runners too.
 
         Either of the two may have crashed them. Two gateways that sent a
         poison request and an innocent one to the same runners would refuse
-        both for good; they run alone until a runner tells them apart.
+        both permanently; instead both run alone until a further loss
+        implicates one of them.
         """
         runners = {loss.runner for loss in losses}
         return any(
@@ -208,28 +214,28 @@
             if losses
         )
 
-    def _counts(self, loss: Loss) -> bool:
+    def _is_relevant(self, loss: Loss) -> bool:
         if loss.version in self.blamed:
             return False
         return loss.runner not in self._waves
 
-    def _was_alone(self, runner: str) -> bool:
+    def _ran_alone(self, runner: str) -> bool:
         losses = self.on_runner[runner]
         return len(losses) == 1 and losses[0].concurrent == 0
 
     def _excludes_version(self, losses: list[Loss]) -> bool:
-        """Tell whether the version can't be what the losses share."""
+        """Return whether the version cannot be the cause of these losses."""
         versions = {loss.version for loss in losses}
         return len(versions) > 1 or not self._serving - versions
 
     def _find_waves(self) -> frozenset[str]:
         waves: set[str] = set()
-        first = sorted(
+        lost_at = sorted(
             (min(loss.at for loss in losses), runner)
             for runner, losses in self.on_runner.items()
         )
-        for index, (at, runner) in enumerate(first):
-            for later, other in first[index + 1 :]:
+        for index, (at, runner) in enumerate(lost_at):
+            for later, other in lost_at[index + 1 :]:
                 if later - at > WAVE_SECONDS:
                     break
                 if not self._share_request(runner, other):
@@ -237,8 +243,8 @@
         return frozenset(waves)
 
     def _share_request(self, runner: str, other: str) -> bool:
-        mine = {loss.fingerprint for loss in self.on_runner[runner]}
-        return any(loss.fingerprint in mine for loss in self.on_runner[other])
+        own = {loss.fingerprint for loss in self.on_runner[runner]}
+        return any(loss.fingerprint in own for loss in self.on_runner[other])
 
     def _find_blamed(self) -> frozenset[str]:
         lost: dict[str, dict[str, set[str]]] = {}
@@ -255,20 +261,22 @@
 
 
 def _is_explained(runners: Mapping[str, set[str]]) -> bool:
-    """Tell whether two requests account for all of the lost runners.
+    """Return whether two requests account for all of the lost runners.
 
-    Two, for two callers with such a request may come at once. The one on
-    most runners is taken first; a bad version's crashes have nothing in
-    common but the few requests that were retried on it.
+    Two, because two callers may send such a request at the same time. The
+    request on most runners is taken first. The crashes of a faulty version
+    have nothing in common but the few requests that were retried on it.
     """
-    left = list(runners.values())
+    unexplained = list(runners.values())
     for _ in range(2):
         counts: dict[str, int] = {}
-        for requests in left:
+        for requests in unexplained:
             for fingerprint in requests:
                 counts[fingerprint] = counts.get(fingerprint, 0) + 1
         if not counts:
             break
         most = max(sorted(counts), key=counts.__getitem__)
-        left = [requests for requests in left if most not in requests]
-    return not left
+        unexplained = [
+            requests for requests in unexplained if most not in requests
+        ]
+    return not unexplained
--- a/lagoonpost/systems/relay.py
+++ b/lagoonpost/systems/relay.py
@@ -1,19 +1,20 @@
-"""One streamed answer as a state table: what to do on each event.
-
-Pattern of load: thousands of tokens a second, nearly all in order and on
-time, while runners, connections and whole hosts go away under them.
-Without a table of this kind each failure is handled where it shows, and
-their combinations lose a token, repeat one, or mix two runners' answers.
-
-Three rules carry the guarantee:
-
-- A token is emitted only if its offset is the number of tokens emitted so
-  far. Copies are dropped, early ones wait, gaps are fetched again.
-- Each move to another runner starts a new attempt, and what an earlier
-  attempt still sends is dropped: another runner may sample other tokens,
-  so tokens of two attempts must not be mixed behind the same offset.
-- An answer is finished only if the closing event came and all the tokens
-  that it counts were emitted.
+"""State machine of one streamed answer.
+
+Load pattern: thousands of tokens a second, nearly all in order and on time,
+while runners, connections and whole hosts fail. If each failure were handled
+where it is detected, combinations of failures would lose a token, repeat one,
+or mix the answers of two runners.
+
+Three rules give the guarantee:
+
+- A token is emitted only if its offset equals the number of tokens emitted so
+  far. Duplicates are dropped, early tokens are buffered, gaps are fetched
+  again.
+- Each move to another runner starts a new attempt, and tokens of earlier
+  attempts are dropped: another runner may sample other tokens, so tokens of
+  two attempts must not share the same offsets.
+- An answer is finished only if the closing event arrived and all tokens that
+  it counts were emitted.
 """
 
 from collections.abc import Callable
@@ -47,39 +48,41 @@
 )
 from lagoonpost.tables.entity import Runner
 
-# Tokens that wait for an earlier one before it is fetched again. Neighbours
-# swap by one or two; 64 is 2.4 s of an answer at 38 ms a token.
+# Tokens buffered behind a missing one before it is fetched again. Reordering
+# affects one or two neighbours; 64 tokens are 2.4 s of an answer at 38 ms a
+# token.
 MAX_EARLY_TOKENS = 64
-# Probes in a row that bring no token. One settles a cut or silent
-# connection. The second covers a probe that is itself cut.
+# Consecutive probes without a token. One resolves a closed or silent
+# connection; the second covers a probe whose own connection is closed.
 MAX_PROBES = 2
-# Moves of one answer. Reclaims come in waves, so several in one long draft
-# are ordinary; the bound only ends a loop that the placement let happen.
+# Moves of one answer. Reclaims come in waves, so several moves of one long
+# draft are normal; the limit only ends a loop that the placement failed to
+# prevent.
 MAX_MOVES = 16
-# When to come back after an answer was given up for its own sake. The next
-# try is another placement, so a short while is enough.
+# Retry delay for a caller whose answer failed. The next attempt is placed
+# afresh, so a short delay is enough.
 RETRY_SECONDS = 1.0
 
-# Silence after which a runner is probed: SILENCE_GAPS usual gaps, not
-# less than the floor. With exponentially distributed gaps the probe is
-# wrong once in e**12 = 160 000 gaps, 4 to 5 times a second over the whole
-# fleet at 740 000 tokens a second, each costing one connection. The floor
-# is 13 gaps at the target of 38 ms, for a mean over few reads is uncertain.
+# A runner is probed after SILENCE_GAPS mean gaps between tokens without a
+# token, but not before the minimum. With exponentially distributed gaps the
+# probe is wrong once in e**12 = 160 000 gaps: 4 to 5 times a second over a
+# fleet at 740 000 tokens a second, each costing one connection. The minimum is
+# 13 gaps at the target of 38 ms, as a mean over few reads is uncertain.
 SILENCE_GAPS = 12.0
 MIN_SILENCE_SECONDS = 0.5
 # Before the first token: twice the target of 1.9 s. By then this runner has
-# missed the target, and less would move prefills about under plain load.
+# missed the target; a shorter limit would move prefills under normal load.
 FIRST_TOKEN_SILENCE_SECONDS = 3.8
 
 
 def silence_limit(mean_gap: float, has_tokens: bool, probed: bool) -> float:
-    """Return the seconds without a token after which to act.
+    """Return the seconds without a token after which to probe or move.
 
     Args:
         mean_gap: Mean seconds between reads of this answer.
-        has_tokens: Whether this attempt gave tokens.
-        probed: Whether a probe already showed the runner to be reachable.
-            The move that comes next costs a prefill, so it waits longer.
+        has_tokens: Whether this attempt has produced tokens.
+        probed: Whether a probe already showed the runner to be reachable. The
+            next step is a move, which costs a prefill, so the limit doubles.
     """
     limit = FIRST_TOKEN_SILENCE_SECONDS
     if has_tokens:
@@ -88,7 +91,7 @@
 
 
 class Phase(Enum):
-    """Where an answer stands."""
+    """Phase of an answer."""
 
     PLACING = "placing"
     OPENING = "opening"
@@ -101,11 +104,20 @@
     """State of one answer.
 
     Attributes:
-        tokens: What was emitted, and what came before this gateway.
-        attempt: Number of the attempt whose tokens count.
-        runner: Where the attempt runs.
+        tokens: Tokens emitted so far, including those that an earlier gateway
+            emitted.
+        phase: Phase of the answer.
+        attempt: Number of the current attempt; tokens of other attempts are
+            dropped.
+        runner: Runner of the current attempt.
+        successor: Runner that takes over when the current one shuts down.
+        leaving_at: Time at which the current runner shuts down, if known.
+        early: Buffered tokens behind a missing one, by offset.
+        closed: The closing event, once it arrived.
+        probes: Consecutive probes without a token.
+        moves: Moves to another runner so far.
+        execution: Whether the request may have run, over all attempts.
         reached: Whether the attempt may have reached its runner.
-        successor: Where it will go when its runner leaves.
     """
 
     def __init__(self, tokens: list[str]) -> None:
@@ -124,9 +136,9 @@
 
 
 def step(relay: Relay, event: Event) -> list[Action]:
-    """Update ``relay`` by ``event`` and return what to do, in order."""
-    # An earlier attempt's late events: its connection may have had them in
-    # flight while the answer moved on to a runner with other samples.
+    """Update ``relay`` with ``event`` and return the actions in order."""
+    # Late events of an earlier attempt may still be in flight when the answer
+    # has moved to a runner that samples other tokens.
     if getattr(event, "attempt", relay.attempt) != relay.attempt:
         return []
     handler = _TABLE.get((relay.phase, type(event)))
@@ -151,13 +163,13 @@
 def _attach(relay: Relay, event: Attached) -> list[Action]:
     relay.attempt += 1
     relay.runner = event.runner
-    # The runner had it, so nothing may say later that it was not run.
+    # The runner has the answer, so it must never be reported as not run.
     relay.execution = "ran"
     relay.reached = True
     return _probe(relay)
 
 
-def _refuse(relay: Relay, event: NotPlaced) -> list[Action]:
+def _fail_not_placed(relay: Relay, event: NotPlaced) -> list[Action]:
     return _fail(relay, event.reason, event.retry_after)
 
 
@@ -182,51 +194,52 @@
     return []
 
 
-def _take(relay: Relay, event: Arrived) -> list[Action]:
-    have = len(relay.tokens)
-    if event.offset > have:
-        return _keep_early(relay, event)
-    fresh = event.tokens[have - event.offset :]
-    if not fresh:
+def _receive_tokens(relay: Relay, event: Arrived) -> list[Action]:
+    emitted = len(relay.tokens)
+    if event.offset > emitted:
+        return _buffer_early(relay, event)
+    new_tokens = event.tokens[emitted - event.offset :]
+    if not new_tokens:
         return []
     relay.probes = 0
-    relay.tokens += fresh
+    relay.tokens += new_tokens
     if relay.early:
-        fresh = fresh + _drain_early(relay)
-    return [Emit(have, fresh), *_finish_if_whole(relay)]
+        new_tokens = new_tokens + _drain_early(relay)
+    return [Emit(emitted, new_tokens), *_finish_if_complete(relay)]
 
 
-def _keep_early(relay: Relay, event: Arrived) -> list[Action]:
+def _buffer_early(relay: Relay, event: Arrived) -> list[Action]:
     relay.early[event.offset] = event.tokens
-    waiting = sum(len(tokens) for tokens in relay.early.values())
-    if waiting <= MAX_EARLY_TOKENS:
+    buffered = sum(len(tokens) for tokens in relay.early.values())
+    if buffered <= MAX_EARLY_TOKENS:
         return []
-    # The token before these is lost, not late: without a new fetch, the
-    # caller would see the answer stop while parts go on coming in.
+    # The missing token is lost, not late. Without another fetch the caller's
+    # stream would stall while later tokens keep arriving.
     return _probe(relay)
 
 
 def _drain_early(relay: Relay) -> list[str]:
     drained: list[str] = []
     for offset in sorted(relay.early):
-        have = len(relay.tokens)
-        if offset > have:
+        emitted = len(relay.tokens)
+        if offset > emitted:
             break
-        fresh = relay.early.pop(offset)[have - offset :]
-        relay.tokens += fresh
-        drained += fresh
+        new_tokens = relay.early.pop(offset)[emitted - offset :]
+        relay.tokens += new_tokens
+        drained += new_tokens
     return drained
 
 
 def _close(relay: Relay, event: Closed) -> list[Action]:
     if event.usage.completion_tokens < len(relay.tokens):
-        # It counts fewer tokens than the caller has: not this answer's end.
+        # The event counts fewer tokens than the caller received, so it does
+        # not close this answer.
         return _move(relay, "failed")
     relay.closed = event
-    return _finish_if_whole(relay)
+    return _finish_if_complete(relay)
 
 
-def _finish_if_whole(relay: Relay) -> list[Action]:
+def _finish_if_complete(relay: Relay) -> list[Action]:
     closed = relay.closed
     if closed is None:
         return []
@@ -240,8 +253,8 @@
     if relay.successor is not None:
         return _switch(relay)
     if relay.leaving_at is not None and not event.silent:
-        # An announced end is the likeliest cause of a cut connection; a
-        # probe would only lose the time that a move needs.
+        # The announced shutdown is the likeliest cause of the closed
+        # connection; a probe would only use up time needed for the move.
         return _move(relay, "leaving")
     if relay.probes >= MAX_PROBES or (event.silent and relay.probes):
         return _move(relay, "silent" if event.silent else "lost")
@@ -274,8 +287,8 @@
     if relay.successor is not None:
         return _switch(relay)
     relay.moves += 1
-    # While the placement decides, tokens of the old attempt find no row in
-    # the table; once it has decided, they carry an old number.
+    # While the placement decides, events of the old attempt match no handler
+    # in the table; afterwards they carry an outdated attempt number.
     relay.phase = Phase.PLACING
     actions: list[Action] = []
     if kind in ("silent", "leaving", "lost"):
@@ -290,7 +303,8 @@
     if relay.leaving_at is not None:
         return []
     if relay.tokens and event.expected_end < event.deadline:
-        # It ends in time where it is; a move would only cost tokens.
+        # The answer finishes in time where it is; a move would only recompute
+        # tokens.
         return []
     relay.leaving_at = event.deadline
     return [Place(relay.runner, "leaving")]
@@ -302,7 +316,7 @@
     relay.successor = event.runner
     exportable = event.runner.version == relay.runner.version
     if not relay.tokens or not exportable:
-        # Another version's KV cache holds other numbers: never import it.
+        # KV caches are incompatible between versions: never import one.
         return _switch(relay)
     return [
         Export(relay.attempt, relay.runner, event.runner, relay.leaving_at)
@@ -310,8 +324,8 @@
 
 
 def _stay(relay: Relay, event: NotPlaced) -> list[Action]:
-    # No other runner now. The leaving one still works, and another may be
-    # free by the time that it goes.
+    # No other runner is free now. The leaving one still works, and another may
+    # become free before it shuts down.
     return []
 
 
@@ -329,7 +343,7 @@
 _Handler = Callable[[Relay, Event], list[Action]]
 
 _READING: dict[type, Callable[..., list[Action]]] = {
-    Arrived: _take,
+    Arrived: _receive_tokens,
     Closed: _close,
     Interrupted: _interrupt,
     AttemptFailed: _fail_attempt,
@@ -344,7 +358,7 @@
     Phase.PLACING: {
         Placed: _start,
         Attached: _attach,
-        NotPlaced: _refuse,
+        NotPlaced: _fail_not_placed,
         Expired: _expire,
     },
     Phase.OPENING: {**_READING, Opened: _begin_reading},
--- a/lagoonpost/systems/relay_event.py
+++ b/lagoonpost/systems/relay_event.py
@@ -1,4 +1,4 @@
-"""Events that a relayed answer takes and the actions that it gives."""
+"""Events that a relayed answer handles and the resulting actions."""
 
 from typing import Literal, NamedTuple
 
@@ -16,26 +16,32 @@
 
 
 class Attached(NamedTuple):
-    """The runner already has the answer; read it from there."""
+    """The runner already runs the request; resume its stream."""
 
     runner: Runner
 
 
 class NotPlaced(NamedTuple):
-    """The placement has no runner left."""
+    """The placement found no runner."""
 
     reason: str
     retry_after: float | None
 
 
 class Opened(NamedTuple):
-    """The runner began to answer on a new connection."""
+    """The runner started to answer on a new connection."""
 
     attempt: int
 
 
 class Arrived(NamedTuple):
-    """Tokens came; ``offset`` tokens of the answer go before them."""
+    """Tokens arrived.
+
+    Attributes:
+        attempt: Number of the attempt.
+        offset: Number of tokens of the answer before these.
+        tokens: The tokens.
+    """
 
     attempt: int
     offset: int
@@ -43,7 +49,7 @@
 
 
 class Closed(NamedTuple):
-    """The closing event came."""
+    """The closing event of the stream arrived."""
 
     attempt: int
     finish_reason: str
@@ -51,14 +57,14 @@
 
 
 class Interrupted(NamedTuple):
-    """The connection ended, or was closed for its silence."""
+    """The connection was closed, by the peer or because it was silent."""
 
     attempt: int
     silent: bool
 
 
 class AttemptFailed(NamedTuple):
-    """The attempt is over: the runner refused, failed or is lost."""
+    """The attempt failed: the runner refused, failed or was lost."""
 
     attempt: int
     kind: FailureKind
@@ -66,14 +72,20 @@
 
 
 class Rejected(NamedTuple):
-    """The runner found the request itself at fault, as others would."""
+    """The runner rejected the request as invalid, as any other would."""
 
     attempt: int
     status: int
 
 
 class Leaving(NamedTuple):
-    """The runner will go at ``deadline``."""
+    """The runner shuts down at ``deadline``.
+
+    Attributes:
+        attempt: Number of the attempt.
+        deadline: Time at which the runner shuts down.
+        expected_end: Time at which the answer is expected to finish.
+    """
 
     attempt: int
     deadline: float
@@ -81,13 +93,13 @@
 
 
 class Exported(NamedTuple):
-    """The export of the KV cache ended, whole or not."""
+    """The export of the KV cache ended, complete or not."""
 
     attempt: int
 
 
 class Expired(NamedTuple):
-    """The answer is given up for a reason outside of its runner."""
+    """The answer is aborted for a reason unrelated to its runner."""
 
     reason: str = "deadline"
     retry_after: float | None = 1.0
@@ -117,14 +129,14 @@
 
 
 class Open(NamedTuple):
-    """Start the attempt: prompt plus the tokens so far."""
+    """Start the attempt with the prompt and the tokens so far."""
 
     attempt: int
     runner: Runner
 
 
 class Probe(NamedTuple):
-    """Resume behind ``after`` tokens over a new connection."""
+    """Resume after the first ``after`` tokens over a new connection."""
 
     attempt: int
     runner: Runner
@@ -132,7 +144,7 @@
 
 
 class Cancel(NamedTuple):
-    """Tell a runner to drop the answer; nobody reads it there any more."""
+    """Cancel the request at a runner; its answer is no longer read."""
 
     runner: Runner
 
@@ -147,21 +159,21 @@
 
 
 class Emit(NamedTuple):
-    """Give tokens to the caller."""
+    """Send tokens to the caller."""
 
     offset: int
     tokens: list[str]
 
 
 class Finish(NamedTuple):
-    """The answer is whole."""
+    """End the answer as complete."""
 
     finish_reason: str
     usage: Usage
 
 
 class Fail(NamedTuple):
-    """Give the answer up, at once."""
+    """Abort the answer at once."""
 
     execution: Execution
     reason: str
--- a/lagoonpost/systems/rollout.py
+++ b/lagoonpost/systems/rollout.py
@@ -1,17 +1,18 @@
-"""One gateway's part in the version moves under way.
+"""One gateway's share of the evidence on version rollouts in progress.
 
-Pattern of load: all gateways move a service's traffic at the same time, each
-sees a part of the requests, and what one sees of a fault has to count on all.
+Load pattern: all gateways shift a service's traffic at the same time. Each
+observes only a part of the requests, while a fault that one of them observes
+has to count for all.
 
-What goes wrong without it: each gateway alone needs as much evidence as all
-together, so that a fault harms as many requests on each of them.
+Without it, each gateway alone needs as much evidence as all of them together,
+so that a faulty version harms that many requests on every gateway.
 
-How it decides: gateways count bad requests by route, question and version
-over intervals of ``INTERVAL_SECONDS`` on the common clock, and gossip the
-counts of an interval once, when it is over. An interval is judged one
-interval later, when gossip has brought all counts; what comes later still
-is left out, which loses evidence and harms nobody. Any gateway that finds
-the version worse trips the move for all.
+Gateways count bad requests by route, criterion and version over intervals of
+``INTERVAL_SECONDS`` on the common clock, and gossip the counts of an interval
+once, when it has ended. An interval is evaluated one interval later, when
+gossip has delivered all counts. Counts that arrive later still are ignored,
+which loses evidence but harms no caller. Any gateway that finds the new
+version worse rolls it back for all.
 """
 
 from collections import Counter
@@ -33,14 +34,15 @@
 
 
 class Outcome(NamedTuple):
-    """How one attempt of a request went.
+    """Outcome of one attempt of a request.
 
     Attributes:
         route: Route of the request.
-        version: Version that ran it.
-        share: Chance that the new version had when it was sent.
-        failed: Whether the runner failed under it.
-        slow: Whether it missed its route's target.
+        version: Version that ran the request.
+        share: Probability of choosing the new version when the request was
+            sent.
+        failed: Whether the runner failed during the attempt.
+        slow: Whether the attempt missed its route's latency target.
     """
 
     route: str
@@ -51,7 +53,7 @@
 
 
 class Tally(NamedTuple):
-    """Bad requests of one route and question in one interval."""
+    """Bad requests by one route and criterion in one interval."""
 
     route: str
     criterion: Criterion
@@ -59,7 +61,7 @@
 
 
 class Report(NamedTuple):
-    """What one gateway saw of a move in one interval."""
+    """Bad requests that one gateway counted in one interval."""
 
     gateway: str
     interval: int
@@ -74,25 +76,25 @@
 
 
 def find_interval(now: float) -> int:
-    """Return the number of the interval that ``now`` lies in."""
+    """Return the number of the interval that contains ``now``."""
     return int(now // INTERVAL_SECONDS)
 
 
 class Rollout:
-    """Evidence on one move, as this gateway knows it.
+    """Evidence on one version move, as known to this gateway.
 
     Attributes:
-        row: The move.
+        row: State of the move.
     """
 
     def __init__(self, row: MoveRow, routes: int) -> None:
         self.row = row
-        self._questions = routes * len(CRITERIA)
+        self._criteria = routes * len(CRITERIA)
         self._intervals = max(1.0, (row.end - row.started) / INTERVAL_SECONDS)
         self._own: dict[int, Counter[_Kind]] = {}
-        self._heard: dict[int, dict[str, Report]] = {}
+        self._reports: dict[int, dict[str, Report]] = {}
         self._evidence: dict[tuple[str, Criterion], Evidence] = {}
-        self._judged = find_interval(row.started) - 1
+        self._last_evaluated = find_interval(row.started) - 1
 
     def record(self, outcome: Outcome, now: float) -> None:
         """Count an attempt that has ended."""
@@ -102,20 +104,20 @@
         is_new = outcome.version == move.to_version
         interval = find_interval(now)
         own = self._own.setdefault(interval, Counter())
-        asked: Mapping[Criterion, bool] = {
+        findings: Mapping[Criterion, bool] = {
             "failed": outcome.failed,
             "slow": outcome.slow,
         }
-        for question, bad in asked.items():
+        for criterion, bad in findings.items():
             if bad:
-                kind = _Kind(outcome.route, question, outcome.share, is_new)
+                kind = _Kind(outcome.route, criterion, outcome.share, is_new)
                 own[kind] += 1
 
     def close_intervals(self, gateway: str, now: float) -> list[Report]:
-        """Return the reports of own intervals that are over."""
-        over = [each for each in self._own if each < find_interval(now)]
+        """Return this gateway's reports on intervals that have ended."""
+        ended = [key for key in self._own if key < find_interval(now)]
         reports = []
-        for interval in sorted(over):
+        for interval in sorted(ended):
             counted = self._own.pop(interval)
             tallies = _make_tallies(counted)
             if tallies:
@@ -123,48 +125,52 @@
         return reports
 
     def add_report(self, report: Report) -> None:
-        """Take in a gateway's report, this one's included."""
-        if report.interval > self._judged:
-            heard = self._heard.setdefault(report.interval, {})
-            heard[report.gateway] = report
+        """Add a gateway's report, including this gateway's own."""
+        if report.interval > self._last_evaluated:
+            reports = self._reports.setdefault(report.interval, {})
+            reports[report.gateway] = report
 
     def evaluate(self, now: float) -> bool:
-        """Judge what is complete; True if the move trips by it."""
+        """Evaluate the complete intervals.
+
+        Returns:
+            True if the evidence requires a rollback.
+        """
         last = find_interval(now) - 2
-        while self._judged < last and self.row.outcome == "moving":
-            self._judged += 1
-            reports = self._heard.pop(self._judged, {})
+        while self._last_evaluated < last and self.row.outcome == "moving":
+            self._last_evaluated += 1
+            reports = self._reports.pop(self._last_evaluated, {})
             if self._add(reports):
                 return True
         return False
 
     def roll_back(self, reason: str, now: float) -> MoveRow:
-        """Take the move back and return its row."""
+        """Roll the move back and return its new row."""
         self.row = roll_back(self.row, reason, now)
         return self.row
 
     def merge(self, row: MoveRow) -> bool:
-        """Take in another gateway's row; True if it changed this one."""
+        """Merge another gateway's row; return True if this row changed."""
         merged = merge_moves(self.row, row)
         changed = merged != self.row
         self.row = merged
         return changed
 
     def describe_evidence(self) -> str:
-        """Name the route and question with the most evidence."""
+        """Return the criterion and route with the most evidence."""
         if not self._evidence:
             return "no bad request"
-        (route, question), _ = max(
+        (route, criterion), _ = max(
             self._evidence.items(), key=lambda item: max(item[1].log_sums)
         )
-        return f"{question} on {route}"
+        return f"{criterion} on {route}"
 
     def _add(self, reports: Mapping[str, Report]) -> bool:
         ratios: dict[tuple[str, Criterion], list[tuple[float, ...]]] = {}
         for report in reports.values():
-            for route, question, counts in report.tallies:
-                asked = ratios.setdefault((route, question), [])
-                asked.append(compute_log_ratios(counts))
+            for route, criterion, counts in report.tallies:
+                gathered = ratios.setdefault((route, criterion), [])
+                gathered.append(compute_log_ratios(counts))
         for key in self._evidence.keys() | ratios.keys():
             self._evidence[key] = add_interval(
                 self._evidence.get(key, Evidence()),
@@ -172,13 +178,13 @@
                 self._intervals,
             )
         return any(
-            is_worse(evidence, self._questions)
+            is_worse(evidence, self._criteria)
             for evidence in self._evidence.values()
         )
 
 
 def _make_tallies(counted: Mapping[_Kind, int]) -> tuple[Tally, ...]:
-    asked = sorted({kind._replace(is_new=True) for kind in counted})
+    kinds = sorted({kind._replace(is_new=True) for kind in counted})
     return tuple(
         Tally(
             kind.route,
@@ -189,5 +195,5 @@
                 counted.get(kind._replace(is_new=False), 0),
             ),
         )
-        for kind in asked
+        for kind in kinds
     )
--- a/lagoonpost/systems/shift.py
+++ b/lagoonpost/systems/shift.py
@@ -1,19 +1,21 @@
-"""Moves a service's traffic to a new version within seconds, or takes it back.
-
-Pattern of load: operators give a new version some ten seconds to take over a
-service, beside the old one. It may fail or be slow at once, or only later.
-
-What goes wrong without it: traffic spread over all runners alike gives a bad
-version half of all callers; and once the old runners are stopped, what they
-still work on is cut off.
-
-How it decides: until ``ALL_PART`` of the time is left, the new version gets
-so few requests that the promised bound on exposure holds whatever it does:
-each gateway counts its own and keeps to its part of the bound, so that nobody
-has to be asked. One gateway adds up the answers of all and tests them as
-`lagoonpost.systems.evidence` does. If nothing speaks against the version, all
-requests go to it, and only when the old runners have had time to end what
-they do is the shift complete. A version taken back gets nothing any more.
+"""Shifts a service's traffic to a new version within seconds, or rolls back.
+
+Load pattern: operators give a new version some ten seconds to take over a
+service next to the old version. The new one may fail or be slow at once, or
+only later.
+
+Traffic spread evenly over all runners would give a bad version half of all
+callers; and once the old runners are stopped, their requests in flight are
+lost.
+
+Until ``DRAIN_TIME_SHARE`` of the time is left, the new version gets so few
+requests that the promised limit on exposure holds whatever the version does:
+each gateway counts its own requests and keeps to its part of the limit,
+without any coordination. One gateway sums the answers of all gateways and
+tests them as `lagoonpost.systems.evidence` does. Without evidence against the
+version, all requests then go to it, and the shift is complete only after the
+old runners had time to finish their requests. A version that is rolled back
+gets no further requests.
 """
 
 from collections.abc import Mapping
@@ -36,37 +38,51 @@
 )
 
 EXPOSURE_SAFETY_SHARE = 0.6
-"""Part of the promised exposure that is used before the version is trusted:
-the rest is for requests that are counted elsewhere and never arrive."""
+"""Share of the promised exposure that is used during the trial.
+
+The rest covers requests that are counted at other gateways and never arrive.
+"""
 MAX_TRIAL_SHARE = 0.5
-"""Most of the requests that try the new version while the bound allows more:
-with no request left to the old one there is nothing to compare with."""
+"""Largest share of requests for the new version during the trial.
+
+Applies even if the limit on exposure allows more: without requests to the old
+version there is no comparison.
+"""
 DRAIN_TIME_SHARE = 0.25
-"""Part of the time that is left for all requests on the new version, in which
-the old runners end what they do."""
+"""Share of the time that is left for draining the old runners.
+
+All requests go to the new version meanwhile.
+"""
 MIN_DRAIN_SECONDS = 2.0
-"""The same at least: most answers take less."""
+"""Minimum drain time: most answers take less."""
 LEADER_ONLY_SECONDS = 3.0
-"""Time before the end in which the holder of the duties judges alone: it may
-complete a version then, and one that others took back in the same moment
-would be left without runners."""
+"""Time before the end in which only the leader evaluates the shift.
+
+The leader may complete a version then; a gateway that rolled it back at the
+same moment would leave it without runners.
+"""
 WRITE_MARGIN_SECONDS = 1.0
-"""Left before the end for the news of it to be written and acknowledged, with
-one call to the store that is lost."""
+"""Margin before the end for writing and acknowledging the outcome.
+
+Allows for one lost call to the store.
+"""
 MIN_ANSWERS = 10
-"""Answers of the new version without which nothing is known of it."""
+"""Answers of the new version below which it is not trusted."""
 ALL_ROUTES = ""
-"""Key of the sum over all routes: a fault on all of them shows there first."""
+"""Key of the sum over all routes.
+
+A fault on all routes shows there first.
+"""
 CRITERIA_PER_ROUTE = 2
-"""Asked of each route: whether it fails more often, and is slow more often."""
+"""Tests on each route: more failures, and more slow requests."""
 
 
 class ExposureBounds(NamedTuple):
-    """What a version may get before it is trusted, over all gateways.
+    """Limit on a new version's requests during the trial, over all gateways.
 
     Attributes:
-        share: Part of the service's requests.
-        slack: Requests besides.
+        share: Share of the service's requests.
+        slack: Number of requests in addition.
     """
 
     share: float = 0.1
@@ -74,14 +90,19 @@
 
 
 class Exposure:
-    """One gateway's requests of a service since an order."""
+    """One gateway's request counts of a service since a shift order.
+
+    Attributes:
+        total: Requests sent to either version.
+        new: Requests sent to the new version.
+    """
 
     def __init__(self) -> None:
         self.total = 0
         self.new = 0
 
     def allows_trial(self, bounds: ExposureBounds, gateways: int) -> bool:
-        """Tell whether one more request may go to the new version."""
+        """Return whether another request may go to the new version."""
         allowed = bounds.share * self.total + bounds.slack / max(1, gateways)
         return self.new + 1 <= EXPOSURE_SAFETY_SHARE * allowed
 
@@ -92,37 +113,37 @@
 
 
 class ShiftEvaluator:
-    """Judges one order by the answers of all gateways.
+    """Evaluates one shift order from the answers of all gateways.
 
     Args:
-        order: The order.
-        now: Time at which it was learned, in seconds.
+        order: The shift order.
+        now: Time in seconds at which the order was received.
     """
 
     def __init__(self, order: ShiftOrder, now: float) -> None:
         self.order = order
         self._started = now
-        self._judged = now
+        self._evaluated = now
         self._all_since: float | None = None
         self._evidence: dict[tuple[str, str], Evidence] = {}
-        self._seen: dict[str, VersionCounts] = {}
+        self._counted: dict[str, VersionCounts] = {}
 
     def advance(
         self, phase: Phase, counts: Mapping[str, VersionCounts], now: float
     ) -> Phase:
-        """Return the phase that follows from what is known.
+        """Return the next phase of the shift.
 
         Args:
-            phase: The present one.
+            phase: The current phase.
             counts: Answers since the order by route, over all gateways.
             now: Time in seconds.
         """
         if phase in ("complete", "taken_back"):
             return phase
-        if now - self._judged >= INTERVAL_SECONDS:
-            self._judged = now
-            whole = {**counts, ALL_ROUTES: _add_up(counts)}
-            if self._is_worse(whole, phase == "trial"):
+        if now - self._evaluated >= INTERVAL_SECONDS:
+            self._evaluated = now
+            totals = {**counts, ALL_ROUTES: _sum_counts(counts)}
+            if self._is_worse(totals, phase == "trial"):
                 return "taken_back"
         if phase == "trial":
             return "all" if self._may_take_all(counts, now) else phase
@@ -132,22 +153,24 @@
 
     @property
     def started(self) -> float:
-        """Time from which the order's own time counts."""
+        """Time in seconds at which the shift began."""
         return self._started
 
     def merge_start(self, started: float) -> None:
-        """Take when another gateway learned the order; the first counts."""
+        """Merge another gateway's start time; the earliest wins."""
         self._started = min(self._started, started)
 
     def may_roll_back(self, now: float) -> bool:
-        """Tell whether one that is not the holder may take a version back."""
+        """Return whether a gateway other than the leader may roll back."""
         return now < self._started + self.order.seconds - LEADER_ONLY_SECONDS
 
     def mark_all_new(self, now: float) -> float:
-        """Note that all requests go to the new version; return since when.
+        """Mark that all requests go to the new version.
 
-        Whoever judges next counts the time of the old runners' end from
-        there, and not from its own first look.
+        Returns:
+            The time of the first such call. Another gateway that takes over
+            the evaluation measures the drain time from then, not from its own
+            first evaluation.
         """
         if self._all_since is None:
             self._all_since = now
@@ -163,49 +186,50 @@
             MIN_DRAIN_SECONDS + WRITE_MARGIN_SECONDS,
         ):
             return False
-        return sum(each.new for each in counts.values()) >= MIN_ANSWERS
+        return sum(total.new for total in counts.values()) >= MIN_ANSWERS
 
     def _is_worse(
         self, counts: Mapping[str, VersionCounts], has_old: bool
     ) -> bool:
-        """Test what came since the last look.
+        """Test the answers since the last evaluation.
 
-        Once all requests go to the new version there is nothing beside it:
-        it is compared with what the old one did while both ran. An outage
-        behind both then looks like a fault of the version, and costs a
-        shift that can be ordered again.
+        Once all requests go to the new version there is nothing to compare it
+        with, so it is compared with the old version's answers while both ran.
+        An outage of both versions then looks like a fault of the new one and
+        causes an unnecessary rollback; the shift can be ordered again.
         """
         intervals = max(1.0, self.order.seconds / INTERVAL_SECONDS)
         for route, total in counts.items():
-            before = self._seen.get(route, VersionCounts())
-            fresh = subtract_counts(total, before)
-            self._seen[route] = total
+            previous = self._counted.get(route, VersionCounts())
+            recent = subtract_counts(total, previous)
+            self._counted[route] = total
             if not has_old:
-                fresh = VersionCounts(*fresh[:3], *total[3:])
-            for question, asked in _ask(fresh).items():
-                key = (route, question)
+                recent = VersionCounts(*recent[:3], *total[3:])
+            for criterion, bad in _split_by_criterion(recent).items():
+                key = (route, criterion)
                 self._evidence[key] = add_interval(
                     self._evidence.get(key, Evidence()),
-                    [compute_log_ratios(asked)],
+                    [compute_log_ratios(bad)],
                     intervals,
                 )
-        questions = CRITERIA_PER_ROUTE * len(counts)
+        criteria = CRITERIA_PER_ROUTE * len(counts)
         return any(
-            is_worse(each, questions) for each in self._evidence.values()
+            is_worse(evidence, criteria)
+            for evidence in self._evidence.values()
         )
 
 
-def _add_up(counts: Mapping[str, VersionCounts]) -> VersionCounts:
+def _sum_counts(counts: Mapping[str, VersionCounts]) -> VersionCounts:
     total = VersionCounts()
-    for each in counts.values():
-        total = add_counts(total, each)
+    for route_counts in counts.values():
+        total = add_counts(total, route_counts)
     return total
 
 
-def _ask(fresh: VersionCounts) -> dict[str, Counts]:
-    answers = fresh.new + fresh.old
-    share = fresh.new / answers if answers else 0.0
+def _split_by_criterion(recent: VersionCounts) -> dict[str, Counts]:
+    answers = recent.new + recent.old
+    share = recent.new / answers if answers else 0.0
     return {
-        "failed": Counts(share, fresh.new_failed, fresh.old_failed),
-        "slow": Counts(share, fresh.new_slow, fresh.old_slow),
+        "failed": Counts(share, recent.new_failed, recent.old_failed),
+        "slow": Counts(share, recent.new_slow, recent.old_slow),
     }
--- a/lagoonpost/systems/ticket.py
+++ b/lagoonpost/systems/ticket.py
@@ -19,53 +19,59 @@
 )
 
 MAX_KEYS_SHOWN = 5
-"""Objects named in one refusal; more do not help an operator."""
+"""Maximum number of object keys named in one refusal.
+
+More would not help an operator.
+"""
 
 
 class Committable(NamedTuple):
-    """The ticket may be committed; ``after`` is what it leads to."""
+    """The ticket may be committed; ``snapshot`` is the resulting state."""
 
     snapshot: Snapshot
 
 
 def evaluate_ticket(
-    ticket: Ticket, digest: str, before: Snapshot, held: TicketRecord | None
+    ticket: Ticket,
+    digest: str,
+    current: Snapshot,
+    accepted: TicketRecord | None,
 ) -> Accepted | Refused | Committable:
-    """Judge ``ticket`` against one consistent reading of the store.
+    """Evaluate ``ticket`` against one consistent snapshot of the store.
 
     Args:
         ticket: The ticket.
         digest: SHA-256 of its content.
-        before: All objects.
-        held: The accepted ticket with the same number, if there is one.
+        current: Snapshot of all declared objects.
+        accepted: The accepted ticket with the same number, if there is one.
 
     Returns:
-        What to tell the operator, or that it may be committed.
+        The outcome for the operator, or `Committable`.
     """
-    if held is not None:
-        return _compare(held, digest)
-    stale = _find_stale(ticket, before)
+    if accepted is not None:
+        return _compare_digest(accepted, digest)
+    stale = _find_stale(ticket, current)
     if stale:
         return Refused("stale", "; ".join(stale))
-    parted = tuple(_find_parted_moves(ticket, before))
-    if parted:
+    partial = tuple(_find_partial_moves(ticket, current))
+    if partial:
         detail = "a move and its two versions change together"
-        return Refused("overlaps_move", detail, parted)
-    merged = merge_objects(before.objects, ticket.number, ticket.objects)
-    after = Snapshot(before.revision + 1, merged)
-    faults = tuple(_find_new_misfits(before, after))
+        return Refused("overlaps_move", detail, partial)
+    merged = merge_objects(current.objects, ticket.number, ticket.objects)
+    updated = Snapshot(current.revision + 1, merged)
+    faults = tuple(_find_new_misfits(current, updated))
     if faults:
         return Refused("invalid", "does not fit what is declared", faults)
-    return Committable(after)
+    return Committable(updated)
 
 
 def find_unreachable_deadlines(ticket: Ticket, now: float) -> list[Fault]:
-    """Return the moves of ``ticket`` that cannot be done by their time.
+    """Return the moves of ``ticket`` that cannot finish by their deadline.
 
-    They are said and not refused: a refusal that depends on the time could
-    meet a write of the same ticket that is still under way, and the ticket
-    would be both refused and in force. Their moves end as soon as they begin
-    (`lagoonpost.systems.move.begin_move`).
+    They are reported as warnings and not refused: a refusal that depends on
+    the time could race with a write of the same ticket that is still in
+    progress, and the ticket would be both refused and in force. Such moves end
+    as soon as they begin (`lagoonpost.systems.move.begin_move`).
     """
     earliest = compute_earliest_deadline(now, 0.0)
     alone = Snapshot(0, merge_objects({}, ticket.number, ticket.objects))
@@ -81,20 +87,20 @@
     ]
 
 
-def _compare(held: TicketRecord, digest: str) -> Accepted | Refused:
-    if held.digest == digest:
-        return Accepted(held)
-    who = f"by {held.operator}: {held.reason}"
-    detail = f"ticket {held.number} was accepted with other content, {who}"
+def _compare_digest(accepted: TicketRecord, digest: str) -> Accepted | Refused:
+    if accepted.digest == digest:
+        return Accepted(accepted)
+    who = f"by {accepted.operator}: {accepted.reason}"
+    detail = f"ticket {accepted.number} was accepted with other content, {who}"
     return Refused("number_taken", detail)
 
 
-def _find_stale(ticket: Ticket, before: Snapshot) -> list[str]:
+def _find_stale(ticket: Ticket, current: Snapshot) -> list[str]:
     newer = [
-        f"{key} was set by ticket {before.objects[key].ticket}"
+        f"{key} was set by ticket {current.objects[key].ticket}"
         for key in ticket.objects
-        if key in before.objects
-        and before.objects[key].ticket >= ticket.number
+        if key in current.objects
+        and current.objects[key].ticket >= ticket.number
     ]
     more = len(newer) - MAX_KEYS_SHOWN
     return (
@@ -102,12 +108,12 @@
     )
 
 
-def _find_parted_moves(ticket: Ticket, before: Snapshot) -> Iterator[Fault]:
-    # A ticket that changed a version in the middle of its move, or dropped
-    # the move alone, would leave open which share is in force: the ticket's,
-    # the move's, or after `done` the old version's again, with all traffic.
-    for move in declare(before).moves:
-        whole = {
+def _find_partial_moves(ticket: Ticket, current: Snapshot) -> Iterator[Fault]:
+    # A ticket that changes a version in the middle of its move, or drops only
+    # the move, would leave open which share is in force: the ticket's, the
+    # move's, or after `done` the old version's again, with all traffic.
+    for move in declare(current).moves:
+        required = {
             f"move/{move.service}": f"moves.{move.service}",
             **{
                 f"version/{move.service}/{name}": (
@@ -116,18 +122,18 @@
                 for name in (move.from_version, move.to_version)
             },
         }
-        if not whole.keys() & ticket.objects.keys():
+        if not required.keys() & ticket.objects.keys():
             continue
-        for key, field in whole.items():
+        for key, field in required.items():
             if key not in ticket.objects:
                 message = f"missing; the move of ticket {move.ticket} stands"
                 yield Fault(field, message)
 
 
-def _find_new_misfits(before: Snapshot, after: Snapshot) -> Iterable[Fault]:
-    # What did not fit before, by a release with laxer checks, must not
-    # block every later ticket; only what this one brings in is refused.
-    known = set(find_misfits(declare(before)))
-    for fault in find_misfits(declare(after)):
+def _find_new_misfits(current: Snapshot, updated: Snapshot) -> Iterable[Fault]:
+    # Faults that already exist, accepted by a release with laxer checks, must
+    # not block every later ticket; only new faults are refused.
+    known = set(find_misfits(declare(current)))
+    for fault in find_misfits(declare(updated)):
         if fault not in known:
             yield fault
--- a/test/test_backoff.py
+++ b/test/test_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off: spread returns, bounded retries, no storm after an outage."""
+"""Backoff: spread returns, limited retries, no retry storm after an outage."""
 
 from random import Random
 
@@ -80,10 +80,10 @@
         assert retries <= MAX_RETRY_TOKENS + TOKENS_PER_ATTEMPT * firsts + 1e-6
 
     def test_failing_service_is_not_sent_more(self):
-        """A fault of all runners turns into many times the load.
+        """A failure of all runners must not multiply the load.
 
-        Every runner answers with an error for five seconds, and each error
-        is retried on the next runner.
+        Every runner answers with an error for five seconds, and each error is
+        retried on the next runner.
         """
         player = Player(make_declaration(6, 8))
         for fake in player.runners.values():
@@ -103,11 +103,11 @@
 
 
 class TestStoreOutage:
-    """Bookings fail for minutes after a short fault of the store.
+    """Callers refused in a store outage must not overload the service later.
 
-    The store is down for ten seconds, all bookings are refused meanwhile,
-    and their callers come back when they were told to. Told one fixed
-    time, they come back together, and the runners are overrun.
+    The store is down for ten seconds, and all bookings are refused meanwhile.
+    With one fixed retry delay their callers would return together, overload
+    the runners and make bookings fail for minutes after the outage.
     """
 
     def test_returns_are_served_and_others_see_nothing(self):
@@ -124,8 +124,8 @@
         checks = [o for o in outcomes if o.call.request_class == "check"]
         assert sum(o.good for o in checks) >= 0.99 * len(checks)
         bookings = [o for o in outcomes if o.call.request_class == "booking"]
-        kept = [o for o in bookings if 8.0 <= o.arrived < 18.0]
-        assert all(o.refused == o.arrived for o in kept)
+        refused = [o for o in bookings if 8.0 <= o.arrived < 18.0]
+        assert all(o.refused == o.arrived for o in refused)
         after = [o for o in bookings if o.arrived >= 18.0]
         assert sum(o.good for o in after) >= 0.95 * len(after)
         settled = [o for o in bookings if o.arrived >= 35.0]
--- a/test/test_ejection.py
+++ b/test/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection, played: a slow or failing runner, and load that slows all."""
+"""Ejection in simulated fleets: slow or failing runners, and overload."""
 
 from random import Random
 
@@ -29,10 +29,11 @@
 
 
 class TestFailingRunner:
-    """Most callers get errors although one runner in six is at fault.
+    """A runner that fails at once must not attract all requests.
 
-    A runner answers each request with an error at once. It always looks
-    idle, so a router that goes by load sends it ever more.
+    It answers each request with an error immediately and therefore always
+    looks idle, so routing by load alone prefers it: most callers get errors
+    although only one runner in six is at fault.
     """
 
     @pytest.mark.parametrize("seed", [1, 2])
@@ -55,10 +56,10 @@
 
 
 class TestSlowRunner:
-    """One in six callers waits ten times as long for its answer.
+    """A slow runner must lose its work and get it back on recovery.
 
-    One runner turns slow for ten seconds and then recovers. Its slots stay
-    taken, and whatever a router still sends there is late.
+    One runner of six is ten times as slow for ten seconds and then recovers.
+    Its slots stay occupied, and every request still routed there is late.
     """
 
     @pytest.mark.parametrize(
@@ -92,10 +93,10 @@
 
     @pytest.mark.parametrize("mean", [1, 5, 50])
     def test_few_tokens_are_no_evidence(self, mean):
-        """A healthy runner is ejected because its model is slow.
+        """A slow model must not get a healthy runner ejected.
 
-        Streams of a large model bring some tokens in half a second, on one
-        runner none and on another twice as many, by chance.
+        Streams of a large model produce few tokens in half a second: by chance
+        none on one runner and twice as many on another.
         """
         rng = Random(1)
         player = Player(make_declaration(6, 8))
--- a/test/test_evacuation.py
+++ b/test/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.systems.evacuation: what leaves a runner first."""
+"""Tests of lagoonpost.systems.evacuation: the order of transfers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,10 +17,10 @@
 
 
 def _play(
-    evacuees: list[PendingTransfer], link: LinkEstimate
+    transfers: list[PendingTransfer], link: LinkEstimate
 ) -> tuple[int, float]:
-    """Move one after another; return tokens saved and the end."""
-    waiting = list(evacuees)
+    """Transfer one after another; return the tokens saved and the end."""
+    waiting = list(transfers)
     now = 0.0
     saved = 0
     while (chosen := choose_next(waiting, link, now)) is not None:
@@ -32,30 +32,31 @@
 
 class TestChooseNext:
     def test_long_draft_goes_before_a_short_one(self) -> None:
-        """A notice of a second under one long draft and many short ones.
+        """A long draft must be transferred before many short ones.
 
-        In order of arrival the short ones' calls take up the time, and the
-        long draft, which costs most to compute again, is left behind.
+        With a second of notice and in order of arrival, the fixed time of the
+        short transfers uses up the notice, and the long draft, the most
+        expensive to recompute, is lost.
         """
-        evacuees = [PendingTransfer(f"s{n}", 100, 1.0) for n in range(8)]
-        evacuees.append(PendingTransfer("long", 800, 1.0))
-        chosen = choose_next(evacuees, LINK, 0.0)
+        transfers = [PendingTransfer(f"s{n}", 100, 1.0) for n in range(8)]
+        transfers.append(PendingTransfer("long", 800, 1.0))
+        chosen = choose_next(transfers, LINK, 0.0)
         assert chosen is not None
         assert chosen.request_id == "long"
-        assert _play(evacuees, LINK)[0] == 800
+        assert _play(transfers, LINK)[0] == 800
 
-    def test_what_does_not_fit_is_left_to_prompt_and_tokens(self) -> None:
-        evacuees = [
+    def test_transfer_beyond_the_deadline_is_skipped(self) -> None:
+        transfers = [
             PendingTransfer("long", 5000, 1.0),
             PendingTransfer("short", 200, 1.0),
         ]
-        chosen = choose_next(evacuees, LINK, 0.0)
+        chosen = choose_next(transfers, LINK, 0.0)
         assert chosen is not None
         assert chosen.request_id == "short"
 
     def test_few_tokens_are_not_worth_a_transfer(self) -> None:
-        evacuees = [PendingTransfer("r", MIN_TOKENS - 1, 9.0)]
-        assert choose_next(evacuees, LINK, 0.0) is None
+        transfers = [PendingTransfer("r", MIN_TOKENS - 1, 9.0)]
+        assert choose_next(transfers, LINK, 0.0) is None
 
     @given(
         st.lists(st.integers(1, 3000), max_size=20),
@@ -64,17 +65,17 @@
     def test_nothing_outlasts_the_notice(
         self, sizes: list[int], notice: float
     ) -> None:
-        evacuees = [
+        transfers = [
             PendingTransfer(f"r{n}", s, notice) for n, s in enumerate(sizes)
         ]
-        saved, end = _play(evacuees, LINK)
+        saved, end = _play(transfers, LINK)
         assert end <= notice or saved == 0
         fitting = [
             size
             for size in sizes
             if size >= MIN_TOKENS and estimate_seconds(size, LINK) <= notice
         ]
-        # Greedy is never worse than the best single transfer by half.
+        # Greedy choice saves at least half of the best single transfer.
         assert 2 * saved >= max(fitting, default=0)
 
 
--- a/test/test_evidence.py
+++ b/test/test_evidence.py
@@ -35,8 +35,7 @@
     ) -> None:
         """The mean ratio is 1, however many requests are bad.
 
-        This is what makes the test safe to look at again and again, and in
-        an outage behind both versions.
+        This makes repeated tests safe, also during an outage of both versions.
         """
         new = (
             TOLERABLE_RISK_RATIO
@@ -67,16 +66,16 @@
 
 class TestIsWorse:
     def test_total_outage_of_both_says_nothing(self) -> None:
-        """All requests of both versions fail for ten minutes.
+        """An outage of both versions must not roll the new one back.
 
-        The cause lies behind both; the new version is not taken back.
+        All requests of both versions fail for ten minutes.
         """
         assert not is_worse(gather(Counts(0.5, 5, 5), 300), 4)
 
     def test_version_that_turns_bad_late_is_found_as_fast(self) -> None:
-        """A version serves well for nine minutes and then fails.
+        """Earlier good results must not delay the detection of a fault.
 
-        The good time must not count in its favour.
+        A version serves well for nine minutes and then fails.
         """
         fault = [compute_log_ratios(Counts(0.5, 4, 0))]
         late, early = gather(Counts(0.5, 0, 1), 270), Evidence()
--- a/test/test_move.py
+++ b/test/test_move.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.systems.move, also over played moves."""
+"""Tests of lagoonpost.systems.move, including simulated moves."""
 
 from collections import Counter
 from functools import reduce
@@ -24,7 +24,7 @@
 from lagoonpost.tables.entity import Move
 
 SEEDS = 5
-"""In CI; bench/moves.py plays 1,000."""
+"""In CI; bench/moves.py simulates 1,000."""
 GOOD = [name for name, case in CASES.items() if case.good]
 BAD = [
     name
@@ -45,11 +45,11 @@
 
 
 class TestDeadline:
-    def test_too_near_is_said_at_once(self) -> None:
-        """A ticket gives a version two minutes, and loading takes three.
+    def test_too_near_deadline_is_rejected_at_once(self) -> None:
+        """A deadline that cannot be met must be rejected at once.
 
-        The operator hears at once which deadline can be met, instead of
-        missing it later.
+        A ticket allows two minutes for a version that takes three to load. The
+        operator gets the earliest feasible deadline instead of a late failure.
         """
         move = Move("booking", "v1", "v2", by=120.0)
         begun = begin_move(move, 0.0, load_seconds=180.0)
@@ -58,7 +58,7 @@
         assert isinstance(begin_move(later, 0.0, 180.0), MoveRow)
 
     @given(st.floats(0, 5000), st.floats(0, 1000))
-    def test_what_may_begin_ends_in_time(
+    def test_feasible_move_ends_before_its_deadline(
         self, extra: float, load: float
     ) -> None:
         row = begin(compute_earliest_deadline(0.0, load) + extra, load)
@@ -68,7 +68,7 @@
 
     @given(st.floats(0, 200))
     def test_each_stage_has_its_least_time(self, extra: float) -> None:
-        """A near deadline must not squeeze the bake out of a move."""
+        """A near deadline must not cut the bake time."""
         row = begin(compute_earliest_deadline(0.0, 0.0) + extra)
         seconds = Counter(find_stage(row, now) for now in range(int(row.end)))
         for index, stage in enumerate(STAGES):
@@ -77,9 +77,10 @@
 
 class TestEnd:
     def test_trip_is_final(self) -> None:
-        """A gateway hears of a trip after the move was done, or of both.
+        """No request may go back to a version that was rolled back.
 
-        No request goes back to a bad version.
+        A gateway receives the rollback after the move was done, or both
+        together.
         """
         row = begin(600.0)
         tripped = roll_back(row, "failed on bookings", 50.0)
@@ -124,9 +125,10 @@
         assert set(list_shares(done, 1e6)) == {1.0}
 
     def test_gateway_cut_off_sends_the_new_version_nothing(self) -> None:
-        """A gateway loses its peers, and the version trips elsewhere.
+        """A partitioned gateway must not keep using a bad version.
 
-        It cannot hear of the trip, so it must not wait for it.
+        It loses its peers and cannot receive a rollback decided elsewhere, so
+        it stops sending requests to the new version on its own.
         """
         row, now = begin(600.0), 500.0
         heard = now - GOSSIP_SECONDS - 0.1
@@ -135,7 +137,7 @@
 
 
 class TestPlayed:
-    """Moves with seeds, of which bench/moves.py plays more."""
+    """Simulated moves with fixed seeds; bench/moves.py runs more."""
 
     @pytest.mark.parametrize("name", BAD)
     def test_bad_is_taken_back_with_little_harm(self, name: str) -> None:
@@ -150,7 +152,8 @@
             assert result.ended <= CASES[name].seconds
 
     def test_bad_with_little_traffic_is_taken_back(self) -> None:
-        # 600 requests in all: the evidence takes more than 6 bad ones.
+        # There are only 600 requests in all, and the evidence takes more than
+        # 6 bad ones.
         for result in self._play("bad with little traffic"):
             assert result.outcome == "taken_back"
 
--- a/test/test_poison.py
+++ b/test/test_poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash their runners."""
+"""Tests of lagoonpost.systems.poison."""
 
 from lagoonpost.systems.poison import (
     BrokenAnswer,
@@ -11,9 +11,10 @@
 
 class TestBreakTable:
     def test_three_breaks_convict(self):
-        """A caller sends a request that crashes its runner, at any gateway.
+        """A request that crashes its runners must be refused eventually.
 
-        Without a verdict each of its retries takes one more runner down.
+        Its caller resends it through any gateway; without a verdict each retry
+        takes another runner down.
         """
         breaks = BrokenAnswerTable()
         for number in range(3):
@@ -25,7 +26,7 @@
         assert breaks.is_poison(POISON, 1.0)
         assert not breaks.is_poison(POISON, 100.0)
 
-    def test_one_break_told_by_many_counts_once(self):
+    def test_duplicate_reports_of_a_break_count_once(self):
         breaks = BrokenAnswerTable()
         for _ in range(9):
             breaks.note(BrokenAnswer(POISON, "chat-1", "a-1"), 1.0)
@@ -33,10 +34,10 @@
         assert not breaks.is_poison(POISON, 1.0)
 
     def test_lost_answers_of_a_runner_that_lives_convict_nobody(self):
-        """Answers to a popular question get lost in part.
+        """Lost answers without a crash must not convict a request.
 
-        Each of its askers would be refused for a minute, though none of
-        its runners has crashed.
+        Some answers to a popular request are lost although no runner crashes.
+        If they counted, all of its callers would be refused for a minute.
         """
         breaks = BrokenAnswerTable()
         for number in range(50):
@@ -46,10 +47,11 @@
         assert not breaks.is_poison(POISON, 30.0)
 
     def test_a_popular_request_beside_a_crash_counts_once(self):
-        """Many callers ask the same question when its runner crashes.
+        """A crash must count once, however many callers sent the request.
 
-        All their answers break off at once. Counted one by one, a single
-        crash would convict the question for a minute.
+        Many callers send the same request when its runner crashes, and all
+        their answers break off at once. Counted separately, a single crash
+        would refuse the request for a minute.
         """
         breaks = BrokenAnswerTable()
         for number in range(9):
@@ -58,10 +60,11 @@
         assert not breaks.is_poison(POISON, 2.0)
 
     def test_a_request_that_is_answered_in_between_is_innocent(self):
-        """A popular question is under way at each of some crashes.
+        """An answer must clear a request of its earlier breaks.
 
-        A request that crashes its runners is never answered; one that was
-        answered since has not crashed those before.
+        A popular request is in flight during several crashes. A request that
+        crashes its runners is never answered, so one that was answered since
+        did not cause the earlier crashes.
         """
         breaks = BrokenAnswerTable()
         for number in range(9):
@@ -74,7 +77,7 @@
             breaks.note_down(f"desk-{number}", 1.6)
         assert not breaks.is_poison(POISON, 2.0)
 
-    def test_others_are_not_concerned(self):
+    def test_fingerprints_differ_by_workspace_path_and_body(self):
         others = {
             make_fingerprint("market", "/draft/1", b"{}"),
             make_fingerprint("pottery", "/draft/2", b"{}"),
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.systems.quarantine: played crashes and verdicts."""
+"""Tests of lagoonpost.systems.quarantine: simulated crashes and verdicts."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 
 
 class _Run:
-    """One request on a runner or on its way to one."""
+    """One request, on a runner or waiting for one."""
 
     def __init__(self, fingerprint: str, steps: int) -> None:
         self.fingerprint = fingerprint
@@ -30,11 +30,11 @@
         self.name = name
         self.version = version
         self.runs: list[_Run] = []
-        self.kept_for: _Run | None = None
+        self.reserved_for: _Run | None = None
 
 
 class Play:
-    """A small fleet, its placement, callers, and one poison request."""
+    """Simulation of a small fleet, its callers and one poison request."""
 
     def __init__(self, seed: int, runners: int, bad: int = 0) -> None:
         self.rng = Random(seed)
@@ -116,25 +116,25 @@
     def _send(self, run: _Run, alone: bool) -> bool:
         if alone:
             self.isolated.add(run.fingerprint)
-            kept = [r for r in self.runners if r.kept_for is run]
-            free = [r for r in self.runners if r.kept_for is None]
+            reserved = [r for r in self.runners if r.reserved_for is run]
+            free = [r for r in self.runners if r.reserved_for is None]
             avoid = self.quarantine.find_versions_to_avoid(run.fingerprint)
             free.sort(key=lambda r: (r.version in avoid, len(r.runs)))
-            choice = kept or free
+            choice = reserved or free
             if choice:
-                choice[0].kept_for = run
+                choice[0].reserved_for = run
             if not choice or choice[0].runs:
                 return False
             choice[0].runs.append(run)
             return True
         for runner in self.runners:
-            gone = runner.kept_for is not None and not runner.runs
-            if gone and runner.kept_for not in self.waiting:
-                runner.kept_for = None
+            done = runner.reserved_for is not None and not runner.runs
+            if done and runner.reserved_for not in self.waiting:
+                runner.reserved_for = None
         room = [
             r
             for r in self.runners
-            if r.kept_for is None and len(r.runs) < SLOTS
+            if r.reserved_for is None and len(r.runs) < SLOTS
         ]
         if not room:
             return False
@@ -147,10 +147,12 @@
     def test_costs_few_runners_and_no_innocent_request(
         self, seed: int
     ) -> None:
-        """Runner after runner goes down, and answers break off each time.
+        """A poison request must be refused after it cost two runners.
 
-        One request crashes each runner half a second after it begins, and
-        its caller sends it again a second later.
+        One request crashes each runner half a second after it starts, and its
+        caller resends it a second later. Without a verdict one runner after
+        another goes down, and the answers of all other requests on it are cut
+        off.
         """
         play = Play(seed, runners=12)
         play.run(5, rate=12, poison=False)
@@ -169,7 +171,7 @@
         assert set(play.refused) == {POISON}
 
     def test_sent_over_several_gateways_at_once(self) -> None:
-        """Three gateways send it before they hear of each other's loss."""
+        """Three gateways send it before they learn of each other's losses."""
         quarantine = Quarantine()
         for n in range(3):
             quarantine.add(Loss(POISON, f"e{n}", "v1", 10.0 + n / 10, 4))
@@ -183,7 +185,7 @@
     def test_lost_failure_domain_makes_no_suspects(
         self, seed: int, lost: int
     ) -> None:
-        """Two or four of twelve runners vanish at once under long drafts."""
+        """Two or four of twelve runners fail at once under long drafts."""
         play = Play(seed, runners=12)
         play.run(10, rate=12, poison=False)
         play.kill(play.runners[:lost])
@@ -193,7 +195,7 @@
 
     @pytest.mark.parametrize("seed", range(20))
     def test_bad_version_gets_no_request_refused(self, seed: int) -> None:
-        """A new version crashes under any request, the old one does not."""
+        """A new version crashes on any request, the old one does not."""
         play = Play(seed, runners=12, bad=5)
         play.run(60, rate=12, poison=False)
         play.run(30, rate=0, poison=False)
@@ -202,7 +204,7 @@
         assert len(play.done) == play.count
 
     def test_two_losses_beside_others_do_not_convict(self) -> None:
-        """An innocent request loses two runners to others' requests."""
+        """An innocent request is on two runners that other requests crash."""
         quarantine = Quarantine()
         for n in range(2):
             quarantine.add(Loss("r1", f"e{n}", "v1", 10.0 * n, 1))
@@ -210,10 +212,12 @@
         assert quarantine.compute_verdicts({"v1"})["r1"] == "alone"
 
     def test_two_that_always_ran_together_are_not_told_apart(self) -> None:
-        """Two gateways send a poison request and another one alike.
+        """Two requests on the same lost runners must not both be refused.
 
-        Both are on each lost runner. Refusing by the number of losses would
-        refuse the innocent one for good; one more runner tells them apart.
+        Two gateways send a poison request and an innocent one to the same
+        runners. A verdict by the number of losses alone would refuse the
+        innocent one permanently; one more lost runner identifies the poison
+        request.
         """
         quarantine = Quarantine()
         for n in range(3):
@@ -243,7 +247,7 @@
         assert quarantine.compute_verdicts({"v1", "v2"})[POISON] == "refused"
 
     def test_popular_request_is_cleared_by_its_completions(self) -> None:
-        """The same check runs everywhere, so it is on each lost runner."""
+        """A request that runs everywhere is on each lost runner."""
         quarantine = Quarantine()
         for n in range(4):
             quarantine.add(Loss("popular", f"e{n}", "v1", 10.0 * n, 0))
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.systems.relay: events in every order."""
+"""Tests of lagoonpost.systems.relay with events in any order."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -63,7 +63,7 @@
 
 
 class _Engine:
-    """One attempt's runner; each has a continuation of its own."""
+    """Runner of one attempt; each attempt generates different tokens."""
 
     def __init__(self, attempt: int, base: int) -> None:
         self.attempt = attempt
@@ -86,10 +86,10 @@
 
 
 class RelayMachine(RuleBasedStateMachine):
-    """A network that swaps, copies, delays and loses parts of answers.
+    """Network that reorders, duplicates, delays and loses parts of answers.
 
-    Runners crash, freeze, refuse and leave meanwhile. What the caller got
-    is checked token by token against the attempt that was current.
+    Runners crash, freeze, refuse and shut down meanwhile. The caller's tokens
+    are checked one by one against the attempt current at the time.
     """
 
     def __init__(self) -> None:
@@ -144,7 +144,7 @@
     @initialize(attach=st.booleans())
     def start(self, attach: bool) -> None:
         if attach:
-            # Another gateway began it; this one reads on at its runner.
+            # Another gateway started the request; this one resumes its stream.
             self.engine = _Engine(1, 0)
             self.engine.made = 3
             self.feed(Attached(_runner("e0")))
@@ -234,7 +234,7 @@
         assert sum(map(len, early)) <= MAX_EARLY_TOKENS
 
     def teardown(self) -> None:
-        """From any state, a network without faults ends the answer."""
+        """From any state, a network without faults completes the answer."""
         for _ in range(3 * (MAX_MOVES + 2)):
             if self.end is not None:
                 return
@@ -266,8 +266,8 @@
     def test_late_part_of_an_old_runner_is_dropped(self) -> None:
         """Tokens of two runners must not mix in one answer.
 
-        The first runner is silent, the answer moves, the second answers;
-        then the first one's delayed part arrives with the next offset.
+        The first runner is silent, the answer moves and the second runner
+        answers; then delayed tokens of the first arrive at the next offset.
         """
         relay = _started()
         step(relay, Interrupted(1, True))
@@ -279,7 +279,7 @@
         ]
 
     def test_early_part_of_an_old_runner_is_dropped(self) -> None:
-        """An early token that waited is not kept over a move."""
+        """Buffered early tokens must not survive a move to another runner."""
         relay = _started()
         step(relay, Arrived(1, 1, ["old1"]))
         step(relay, AttemptFailed(1, "failed", "ran"))
@@ -303,7 +303,7 @@
         assert actions == [Emit(0, ["t0", "t1", "t2", "t3"])]
 
     def test_closing_event_of_an_old_runner_does_not_count(self) -> None:
-        """The new runner's answer is longer than the old one's was."""
+        """The new runner's answer may be longer than the old one's."""
         relay = _started()
         step(relay, Closed(1, "stop", Usage(completion_tokens=1)))
         step(relay, AttemptFailed(1, "failed", "ran"))
@@ -318,9 +318,10 @@
         assert step(relay, closing) == [Place(_runner("e0"), "failed")]
 
     def test_many_tokens_behind_a_lost_one_fetch_it_again(self) -> None:
-        """The answer stands still for the caller although parts come in.
+        """The caller's stream must not stall while later tokens arrive.
 
-        One token was lost on the way and those behind it wait for it.
+        One token was lost in transit, and all later ones are buffered behind
+        it.
         """
         relay = _started()
         step(relay, Arrived(1, 0, ["t0"]))
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -36,7 +36,7 @@
     return reports
 
 
-def judge(reports: list[Report]) -> tuple[bool, str]:
+def evaluate_reports(reports: list[Report]) -> tuple[bool, str]:
     rollout = Rollout(ROW, 1)
     for report in reports:
         rollout.add_report(report)
@@ -49,7 +49,7 @@
         reports = collect_reports(outcomes)
         shuffled = reports * 2
         random.shuffle(shuffled)
-        assert judge(shuffled)[0] == judge(reports)[0]
+        assert evaluate_reports(shuffled)[0] == evaluate_reports(reports)[0]
 
     @given(OUTCOMES)
     def test_counts_each_bad_request_once(self, outcomes) -> None:  # type: ignore[no-untyped-def]
@@ -66,20 +66,24 @@
         assert counted == wanted
 
     def test_an_outage_of_both_versions_trips_nothing(self) -> None:
-        """The hosts of both versions are reclaimed at once.
+        """An outage of both versions must not roll the new one back.
 
-        All requests fail for a while, one in twenty of them at the new
-        version, as its share has it; that says nothing against it.
+        The hosts of both versions are reclaimed at once and all requests fail
+        for a while, one in twenty of them at the new version, according to its
+        share.
         """
         outcomes = [
             (n % 3, "v2" if n % 20 == 0 else "v1", True, False, n / 50)
             for n in range(1000)
         ]
-        assert judge(collect_reports(outcomes)) == (False, "failed on /chat")
+        assert evaluate_reports(collect_reports(outcomes)) == (
+            False,
+            "failed on /chat",
+        )
 
     def test_a_version_that_fails_alone_trips(self) -> None:
         outcomes = [(n % 3, "v2", True, False, n / 2) for n in range(12)]
-        assert judge(collect_reports(outcomes))[0]
+        assert evaluate_reports(collect_reports(outcomes))[0]
 
     def test_an_interval_is_judged_only_when_gossip_had_its_time(
         self,
--- a/test/test_systems_gateway.py
+++ b/test/test_systems_gateway.py
@@ -1,4 +1,4 @@
-"""The entry point: properties that hold for any arrivals and any seed."""
+"""Properties of the decision entry point for any arrivals and seeds."""
 
 from collections import Counter
 
@@ -70,10 +70,10 @@
     @settings(max_examples=40)
     @given(calls, st.booleans())
     def test_accepted_requests_outlive_a_lost_runner(self, wanted, notice):
-        """An answer breaks off although its request had been accepted.
+        """An accepted request must survive the loss of its runner.
 
-        A runner is reclaimed, with or without notice, while requests run
-        on it. They ask for another runner while new requests fill the rest.
+        A runner is reclaimed, with or without notice, while requests run on
+        it. They are retried on other runners while new requests occupy those.
         """
         _, outcomes = play(wanted, lost=["r1"], notice=notice)
         for outcome in outcomes:
@@ -83,17 +83,18 @@
 
     @settings(max_examples=20)
     @given(st.integers(1, 400), st.integers(1, 60))
-    def test_more_load_never_opens_the_door(self, count, output):
-        """Of equal requests of one instant, none gets in after a refusal."""
+    def test_no_request_is_admitted_after_a_refusal(self, count, output):
+        """Of equal simultaneous requests, none is admitted after a refusal."""
         same = Call(1.0, output=output)
         _, outcomes = play([same] * count)
-        let_in = [o.refused != o.arrived for o in outcomes]
-        assert let_in == sorted(let_in, reverse=True)
+        admitted = [o.refused != o.arrived for o in outcomes]
+        assert admitted == sorted(admitted, reverse=True)
 
     def test_drafts_do_not_starve(self):
-        """Nobody's draft begins while checks keep coming.
+        """Drafts must make progress while checks keep arriving.
 
-        Checks alone are three times what the runners can do, and go first.
+        Checks alone are three times the capacity of the runners and take
+        precedence.
         """
         checks = [Call(0.01 * i, "c", output=50) for i in range(3000)]
         drafts = [Call(2.0 * i, "d", "draft", output=100) for i in range(12)]
