--- a/bench/store.py
+++ b/bench/store.py
@@ -22,7 +22,7 @@
     Unavailable,
     Write,
 )
-from lagoonpost.systems.booking import Answered, Chosen, Ran
+from lagoonpost.systems.booking import Answered, Ran, RunnerChosen
 from lagoonpost.systems.lease import LeasePolicy
 from lagoonpost.tables.ledger import RecordedAnswer
 from lagoonpost_standins.table import Table
@@ -67,8 +67,8 @@
 
 
 class _Runner:
-    async def choose(self) -> Chosen:
-        return Chosen()
+    async def choose(self) -> RunnerChosen:
+        return RunnerChosen()
 
     async def send(self, may_send: Any) -> Answered:
         await asyncio.sleep(RUN_SECONDS)
--- a/lagoonpost/controller/daemon.py
+++ b/lagoonpost/controller/daemon.py
@@ -17,7 +17,7 @@
 from lagoonpost.store.lease import LeaseKeeper
 from lagoonpost.store.table import TableStore
 from lagoonpost.store.watch import Watch
-from lagoonpost.systems.order import Wanted
+from lagoonpost.systems.order import DesiredState
 from lagoonpost.tables.entity import Declaration, Runner
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
@@ -107,7 +107,7 @@
             if self._watch.is_current():
                 runners = self._list_runners(shard)
                 wanted = {
-                    runner.name: Wanted((runner.version,))
+                    runner.name: DesiredState((runner.version,))
                     for runner in runners
                 }
                 await orders.reconcile(runners, wanted)
--- a/lagoonpost/controller/order.py
+++ b/lagoonpost/controller/order.py
@@ -10,7 +10,7 @@
 from lagoonpost.runners.engine import EngineOrder, send_order
 from lagoonpost.store.clock import read_clock
 from lagoonpost.store.lease import LeaseKeeper
-from lagoonpost.systems.order import Given, Wanted, choose_due
+from lagoonpost.systems.order import DesiredState, SentOrder, find_due_runners
 from lagoonpost.tables.entity import Runner
 
 AT_ONCE = 16
@@ -27,10 +27,10 @@
     def __init__(self, client: Client, keeper: LeaseKeeper) -> None:
         self._client = client
         self._keeper = keeper
-        self._given: dict[str, Given] = {}
+        self._given: dict[str, SentOrder] = {}
 
     async def reconcile(
-        self, runners: Iterable[Runner], wanted: Mapping[str, Wanted]
+        self, runners: Iterable[Runner], wanted: Mapping[str, DesiredState]
     ) -> None:
         """Order the runners that are due, and wait for their answers.
 
@@ -39,7 +39,7 @@
             wanted: Wanted state by name of the runner.
         """
         fence = self._keeper.fence
-        due = set(choose_due(wanted, self._given, fence, read_clock()))
+        due = set(find_due_runners(wanted, self._given, fence, read_clock()))
         slots = asyncio.Semaphore(AT_ONCE)
 
         async def order(runner: Runner) -> None:
@@ -51,7 +51,9 @@
                 if runner.name in due:
                     group.create_task(order(runner))
 
-    async def _order(self, runner: Runner, wanted: Wanted, fence: int) -> None:
+    async def _order(
+        self, runner: Runner, wanted: DesiredState, fence: int
+    ) -> None:
         may_send = self._make_guard(runner, fence)
         if not may_send():
             return
@@ -65,7 +67,7 @@
             )
             call.answered = answer is not None
         confirmed = answer is not None and answer.status == 200
-        self._given[runner.name] = Given(
+        self._given[runner.name] = SentOrder(
             wanted, fence, read_clock(), confirmed
         )
         eliot.log_message(
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -33,7 +33,7 @@
 from lagoonpost.platform.settings import HostSettings
 from lagoonpost.platform.store import PlatformStore
 from lagoonpost.store.clock import read_clock
-from lagoonpost.systems.hub import READER_WAIT_SECONDS
+from lagoonpost.systems.hub import READER_LONG_POLL_SECONDS
 from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.systems.route import RouteTable
 from lagoonpost.systems.shift import ExposureBounds
@@ -238,7 +238,7 @@
         wait = find_wait(contact, self._shared.find_pause() or 0.0)
         if self._shared.find_roles().mesh:
             return wait
-        return min(wait, READER_WAIT_SECONDS)
+        return min(wait, READER_LONG_POLL_SECONDS)
 
     def _recover(self) -> None:
         self._client.close()
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -88,11 +88,11 @@
         policy = LeasePolicy(
             duration=seconds + 1.0,
             margin=LEASE_MARGIN_SECONDS,
-            renew=seconds / 2,
+            renew_after=seconds / 2,
             retry=0.3,
             poll=1.0,
             order=LATE_CALL_SECONDS,
-            rest=seconds + LEASE_MARGIN_SECONDS,
+            handback_delay=seconds + LEASE_MARGIN_SECONDS,
         )
         self._lease = LeaseKeeper(
             store, LEASE_NAME, settings.name, shared.reports.run_id, policy
@@ -160,7 +160,7 @@
 
     def _may_contend(self, roles: Roles) -> bool:
         if self.is_held():
-            return self._settings.name in roles.keepers
+            return self._settings.name in roles.eligible_holders
         return self.is_contender()
 
     async def _send(
--- a/lagoonpost/forwarding/reports.py
+++ b/lagoonpost/forwarding/reports.py
@@ -9,8 +9,11 @@
 from lagoonpost.http.message import Address, parse_address
 from lagoonpost.peers.post import Post
 from lagoonpost.store.clock import read_clock
-from lagoonpost.systems.hearing import find_heard_part, find_unheard
-from lagoonpost.systems.hub import Heard, Roles
+from lagoonpost.systems.hub import ReportAge, Roles
+from lagoonpost.systems.reachability import (
+    compute_reachable_share,
+    find_unreachable,
+)
 from lagoonpost.tables.gateway_report import (
     GatewayReport,
     RunnerWork,
@@ -289,13 +292,13 @@
         everyone = self._find_all_members()
         if self.is_hub():
             names = {report.name for report in self.fresh()} | {self._name}
-            unheard = find_unheard(everyone, names, now)
-            return find_heard_part(len(names), len(unheard))
+            unheard = find_unreachable(everyone, names, now)
+            return compute_reachable_share(len(names), len(unheard))
         heard = 1
         if self._summary is not None and self._has_fresh_summary():
             heard = self._summary[1].gateways
-        known = 1 + len(find_unheard(everyone, {self._name}, now))
-        return find_heard_part(heard, max(0, known - heard))
+        known = 1 + len(find_unreachable(everyone, {self._name}, now))
+        return compute_reachable_share(heard, max(0, known - heard))
 
     def _find_read_age(self) -> float | None:
         """Return the least age of the store's answers, of all reports."""
@@ -307,19 +310,19 @@
         ]
         return min(ages, default=None)
 
-    def find_heard(self) -> Heard:
+    def find_heard(self) -> ReportAge:
         """Return how old the last news of the hub and the readers is."""
         now = self._now()
         if self.is_hub():
             age = self._find_read_age()
-            return Heard(0.0, now - self._started if age is None else age)
+            return ReportAge(0.0, now - self._started if age is None else age)
         if self._summary is None:
-            return Heard(now - self._started, now - self._started)
+            return ReportAge(now - self._started, now - self._started)
         at, summary = self._summary
         hub = now - at
         if summary.read_age is None:
-            return Heard(hub, now - self._started)
-        return Heard(hub, hub + summary.read_age)
+            return ReportAge(hub, now - self._started)
+        return ReportAge(hub, hub + summary.read_age)
 
     def _has_fresh_summary(self) -> bool:
         if self._summary is None:
--- a/lagoonpost/forwarding/shared.py
+++ b/lagoonpost/forwarding/shared.py
@@ -17,7 +17,7 @@
 from lagoonpost.peers.post import Post
 from lagoonpost.platform.settings import Bounds, HostSettings
 from lagoonpost.store.store import Store, Unavailable, Write
-from lagoonpost.systems.hub import Roles, choose_roles, must_read
+from lagoonpost.systems.hub import Roles, choose_roles, should_read_store
 from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
@@ -332,7 +332,7 @@
         roles = self.find_roles()
         heard = self.reports.find_heard()
         bound = self._bounds.news_seconds
-        if not must_read(self._settings.name, roles, heard, bound):
+        if not should_read_store(self._settings.name, roles, heard, bound):
             return None
         return GATHER_SECONDS if roles.mesh else TURN_SECONDS
 
--- a/lagoonpost/gateway/booking.py
+++ b/lagoonpost/gateway/booking.py
@@ -16,11 +16,11 @@
 from lagoonpost.systems.backoff import compute_outage_delay
 from lagoonpost.systems.booking import (
     Answered,
-    Chosen,
     Lost,
     NoRunner,
     NotRun,
     Outcome,
+    RunnerChosen,
 )
 from lagoonpost.systems.event import Refuse
 from lagoonpost.systems.ledger import STORE_DOWN
@@ -111,13 +111,13 @@
         self._failure: str | None = None
         self.runner: Runner | None = None
 
-    async def choose(self) -> Chosen | NoRunner:
+    async def choose(self) -> RunnerChosen | NoRunner:
         failed = self.runner.name if self.runner else None
         placed = await self._place(failed, self._failure)
         if isinstance(placed, Refuse):
             return NoRunner(placed.status, placed.reason, placed.retry_after)
         self.runner = placed
-        return Chosen()
+        return RunnerChosen()
 
     async def send(
         self, may_send: Callable[[], bool]
--- a/lagoonpost/peers/node.py
+++ b/lagoonpost/peers/node.py
@@ -38,10 +38,10 @@
     Action,
     Answered,
     Call,
+    ChangedRows,
     Event,
     Failed,
     Flush,
-    Learned,
     Leave,
     Packet,
     Publish,
@@ -327,7 +327,7 @@
         for action in actions:
             if isinstance(action, Call):
                 self._spawn(action)
-            elif isinstance(action, Learned):
+            elif isinstance(action, ChangedRows):
                 self._tell(action)
         if self._gossip.view.has_news() and "flush" not in self._timers:
             self._arm("flush", FLUSH_SECONDS, self._flush)
@@ -360,7 +360,7 @@
         else:
             self._step(Answered(call, reply))
 
-    def _tell(self, learned: Learned) -> None:
+    def _tell(self, learned: ChangedRows) -> None:
         for row in learned.members:
             log_message(
                 message_type="lagoonpost:peers:member",
--- a/lagoonpost/store/lease.py
+++ b/lagoonpost/store/lease.py
@@ -19,6 +19,7 @@
     Write,
 )
 from lagoonpost.systems.lease import (
+    CurrentRow,
     Lease,
     LeasePolicy,
     NoReply,
@@ -26,18 +27,17 @@
     Put,
     Read,
     Reply,
-    Seen,
     Stored,
+    apply_reply,
     begin_call,
     choose_action,
-    distrust,
+    classify_gain,
+    classify_loss,
     end_call,
     get_fence,
+    handle_store_rollback,
     may_order,
     may_work,
-    name_gain,
-    name_loss,
-    take_reply,
 )
 from lagoonpost.tables.lease import LeaseRow
 
@@ -103,7 +103,7 @@
         Args:
             era: Number of such returns, which fences have to be above.
         """
-        self.lease = distrust(self.lease, era, read_clock())
+        self.lease = handle_store_rollback(self.lease, era, read_clock())
 
     def want(self, wanted: bool, delay: float = 0.0) -> None:
         """Ask for the lease, or for its release once work has stopped.
@@ -168,7 +168,7 @@
     async def _call(self, action: Put | Read) -> None:
         reply = await self._perform(action)
         put = action if isinstance(action, Put) else None
-        self.lease = take_reply(self.lease, put, reply, read_clock())
+        self.lease = apply_reply(self.lease, put, reply, read_clock())
         if isinstance(reply, NoReply):
             await self._pause(self.lease.policy.retry)
 
@@ -207,14 +207,14 @@
             holder=self.lease.holder,
             held=held,
             fence=self.fence,
-            cause=name_gain(before) if held else name_loss(self.lease),
+            cause=classify_gain(before) if held else classify_loss(self.lease),
             before=before.row._asdict() if before.row else None,
-            seconds=None if held else round(now - before.taken, 3),
+            seconds=None if held else round(now - before.acquired, 3),
         )
 
 
-def _see(row: Row) -> Seen:
-    return Seen(row.version, _decode(row.value))
+def _see(row: Row) -> CurrentRow:
+    return CurrentRow(row.version, _decode(row.value))
 
 
 def _decode(value: Any) -> LeaseRow | None:
--- a/lagoonpost/store/ledger.py
+++ b/lagoonpost/store/ledger.py
@@ -23,17 +23,17 @@
 from lagoonpost.systems.booking import (
     Action,
     Answered,
-    Choose,
-    Chosen,
+    ChooseRunner,
     Event,
-    Found,
     Lost,
     NoReply,
     NoRunner,
     NotRun,
     Outcome,
     Put,
-    Send,
+    RowConflict,
+    RunnerChosen,
+    SendRequest,
     Stored,
 )
 from lagoonpost.systems.ledger import (
@@ -42,7 +42,7 @@
     begin,
     find_expired,
     make_claim,
-    may_send,
+    may_dispatch,
     step,
 )
 from lagoonpost.tables.ledger import LedgerEntry
@@ -55,7 +55,7 @@
 class Dispatcher(Protocol):
     """Chooses runners for one booking and sends it to them."""
 
-    async def choose(self) -> Chosen | NoRunner:
+    async def choose(self) -> RunnerChosen | NoRunner:
         """Choose the next runner to try."""
 
     async def send(
@@ -160,11 +160,11 @@
                 if delay:
                     await asyncio.sleep(delay)
                 return await self._put(key, version, entry)
-            case Choose():
+            case ChooseRunner():
                 return await dispatcher.choose()
-            case Send():
+            case SendRequest():
                 return await dispatcher.send(
-                    lambda: may_send(attempt, read_clock())
+                    lambda: may_dispatch(attempt, read_clock())
                 )
         return None
 
@@ -174,7 +174,9 @@
             case Row() as row:
                 return Stored(row.version)
             case Conflict(rows):
-                return Found(rows[0].version, decode_entry(rows[0].value))
+                return RowConflict(
+                    rows[0].version, decode_entry(rows[0].value)
+                )
             case Unavailable(_, applied):
                 return NoReply(applied)
 
--- a/lagoonpost/systems/affinity.py
+++ b/lagoonpost/systems/affinity.py
@@ -26,7 +26,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from lagoonpost.systems.subset import score
+from lagoonpost.systems.subset import rendezvous_score
 from lagoonpost.tables.load import RunnerLoad
 from lagoonpost.tables.request import RequestRow
 
@@ -99,7 +99,9 @@
     """Rank runners for a prefix that none is known to hold."""
     key = str(prefix[0])
     names = [load.runner.name for load in loads]
-    return sorted(names, key=lambda name: score(key, name), reverse=True)
+    return sorted(
+        names, key=lambda name: rendezvous_score(key, name), reverse=True
+    )
 
 
 def decay_work(load: RunnerLoad, now: float) -> float:
--- a/lagoonpost/systems/booking.py
+++ b/lagoonpost/systems/booking.py
@@ -11,7 +11,7 @@
     version: int
 
 
-class Found(NamedTuple):
+class RowConflict(NamedTuple):
     """The write was refused: the row is like this; 0 and None: absent."""
 
     version: int
@@ -24,7 +24,7 @@
     applied: bool | None
 
 
-class Chosen(NamedTuple):
+class RunnerChosen(NamedTuple):
     """A runner was chosen."""
 
 
@@ -54,7 +54,16 @@
     reason: str
 
 
-Event = Stored | Found | NoReply | Chosen | NotRun | NoRunner | Answered | Lost
+Event = (
+    Stored
+    | RowConflict
+    | NoReply
+    | RunnerChosen
+    | NotRun
+    | NoRunner
+    | Answered
+    | Lost
+)
 
 
 class Put(NamedTuple):
@@ -65,11 +74,11 @@
     delay: float = 0.0
 
 
-class Choose(NamedTuple):
+class ChooseRunner(NamedTuple):
     """Choose a runner."""
 
 
-class Send(NamedTuple):
+class SendRequest(NamedTuple):
     """Dispatch, if the bound still holds when the bytes leave."""
 
 
@@ -104,4 +113,4 @@
 
 
 Outcome = Ran | Earlier | Mismatch | Refused | Unknown
-Action = Put | Choose | Send | Outcome
+Action = Put | ChooseRunner | SendRequest | Outcome
--- a/lagoonpost/systems/detection.py
+++ b/lagoonpost/systems/detection.py
@@ -11,20 +11,20 @@
     AVOID_SECONDS,
     PROBE_SECONDS,
     SUSPICION_SECONDS,
-    condemn,
-    suspect,
+    mark_dead,
+    mark_suspect,
 )
 from lagoonpost.tables.peer import Member
 
 
-class Inquiry(NamedTuple):
+class IndirectProbe(NamedTuple):
     """A member that did not answer and is being probed on other ways."""
 
     incarnation: int
     until: float
 
 
-class Detector:
+class FailureDetector:
     """The failure detector of one member; it judges its own region only.
 
     When regions lose each other, neither can tell a cut from a loss. If
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._avoided: dict[str, float] = {}
-        self._inquiries: dict[str, Inquiry] = {}
+        self._inquiries: dict[str, IndirectProbe] = {}
         self._suspects: dict[str, float] = {}
 
     def avoided(self, now: float) -> frozenset[str]:
@@ -46,13 +46,13 @@
         """Pass a member over for a while."""
         self._avoided[name] = now + AVOID_SECONDS
 
-    def inquire(self, row: Member, now: float) -> bool:
+    def start_indirect_probe(self, row: Member, now: float) -> bool:
         """Begin to ask others about a member; False if already at it."""
         if row.name in self._inquiries or row.state != "alive":
             return False
         # A direct and an indirect probe, the latter over two hops.
         until = now + 2 * PROBE_SECONDS
-        self._inquiries[row.name] = Inquiry(row.incarnation, until)
+        self._inquiries[row.name] = IndirectProbe(row.incarnation, until)
         return True
 
     def clear(self, name: str) -> None:
@@ -60,14 +60,16 @@
         self._avoided.pop(name, None)
         self._inquiries.pop(name, None)
 
-    def note(self, row: Member, now: float) -> None:
+    def record_state(self, row: Member, now: float) -> None:
         """Note a row that changed, to time its suspicion."""
         if row.state == "suspect":
             self._suspects[row.name] = now + SUSPICION_SECONDS
         else:
             self._suspects.pop(row.name, None)
 
-    def judge(self, rows: dict[str, Member], now: float) -> list[Member]:
+    def update_states(
+        self, rows: dict[str, Member], now: float
+    ) -> list[Member]:
         """Return the rows of all verdicts that are due."""
         return [
             *self._find_suspects(rows, now),
@@ -84,7 +86,7 @@
             del self._inquiries[name]
             row = rows.get(name)
             if row and row.incarnation == inquiry.incarnation:
-                found.append(suspect(row, now))
+                found.append(mark_suspect(row, now))
         return [row for row in found if rows[row.name].state == "alive"]
 
     def _find_dead(self, rows: dict[str, Member], now: float) -> list[Member]:
@@ -92,13 +94,13 @@
         for name in due:
             del self._suspects[name]
         held = [rows[name] for name in due if name in rows]
-        return [condemn(row) for row in held if row.state == "suspect"]
+        return [mark_dead(row) for row in held if row.state == "suspect"]
 
-    def drop_inquiries(self) -> None:
+    def drop_indirect_probes(self) -> None:
         """Begin no verdict by what this member was too slow to hear."""
         self._inquiries.clear()
 
-    def distrust(self) -> None:
+    def reset(self) -> None:
         """Drop what was found out before a freeze.
 
         After a freeze all inquiries are overdue, while the answers to them
--- a/lagoonpost/systems/entry.py
+++ b/lagoonpost/systems/entry.py
@@ -24,7 +24,7 @@
 from math import ceil
 from typing import Protocol, TypeVar
 
-from lagoonpost.systems.subset import score
+from lagoonpost.systems.subset import rendezvous_score
 
 LEAST = 3
 BOUND = 1.25
@@ -86,7 +86,9 @@
 def rank_members(members: Sequence[Member], workspace: str) -> list[Member]:
     """Rank gateways by rendezvous hash, one failure domain after another."""
     ranked = sorted(
-        members, key=lambda m: score(workspace, m.name), reverse=True
+        members,
+        key=lambda m: rendezvous_score(workspace, m.name),
+        reverse=True,
     )
     seen: defaultdict[str, int] = defaultdict(int)
     rounds = {}
--- a/lagoonpost/systems/gossip.py
+++ b/lagoonpost/systems/gossip.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from lagoonpost.systems.membership import INDIRECT
+from lagoonpost.systems.membership import INDIRECT_PROBES
 from lagoonpost.systems.packet import (
     Action,
     Answered,
@@ -41,19 +41,19 @@
 # tell whether others are: their answers wait unread in its sockets. All that
 # start together are slow for a while, and if they suspected each other, the
 # verdicts and their refutations would keep them slow.
-LATE_SECONDS = 0.3
-BUSY_SECONDS = 3.0
+LATE_TICK_SECONDS = 0.3
+OVERLOADED_SECONDS = 3.0
 # One member in HEAL_TICKS tries each second one that is held dead: 32
 # members a second at 320, so that a healed partition is found at once.
-HEAL_TICKS = 10
+HEAL_INTERVAL_TICKS = 10
 # Members of other groups that are called in a second, where groups have
 # started apart. One that answers joins two groups whole, and hosts that start
 # together after a loss of power find all the others' places in the store: if
 # each called each, 195 of them would make 38,000 calls.
-MEET_CALLS = 3
+MAX_SEED_CALLS_PER_TICK = 3
 # Peers that are themselves not current count as well once this many have
 # been asked, else a whole fleet that starts together would wait for ever.
-ENOUGH_ANSWERS = 3
+MIN_SYNC_ANSWERS = 3
 # News that is on its way makes digests differ for some 100 ms; only the
 # second difference in a row at a neighbour means that a push was lost.
 DIFFERENCES_BEFORE_SYNC = 2
@@ -131,17 +131,17 @@
         self._answers.clear()
         self._untried.update(self._seeds)
         self.view.settled = not self._seeds and not self.view.find_others()
-        self.view.detector.distrust()
+        self.view.detector.reset()
         return self._call_each(self.view.neighbours(now), "sync", now)
 
     def _tick(self, event: Tick, now: float, rng: Random) -> list[Action]:
         view = self.view
-        if now - self._last_tick > TICK_SECONDS + LATE_SECONDS:
-            self._busy_until = now + BUSY_SECONDS
-            view.detector.drop_inquiries()
+        if now - self._last_tick > TICK_SECONDS + LATE_TICK_SECONDS:
+            self._busy_until = now + OVERLOADED_SECONDS
+            view.detector.drop_indirect_probes()
         self._last_tick = now
         view.drop_expired(now)
-        for row in view.detector.judge(view.members.rows, now):
+        for row in view.detector.update_states(view.members.rows, now):
             view.adopt_member(row, view.me.name, now)
         if view.me.state == "left":
             # Nobody pushes to it any more, yet it still serves what it
@@ -151,7 +151,7 @@
         if not view.settled:
             actions.extend(self._join(now))
         actions.extend(self._meet(now, rng))
-        if not view.find_others() or rng.randrange(HEAL_TICKS) == 0:
+        if not view.find_others() or rng.randrange(HEAL_INTERVAL_TICKS) == 0:
             actions.extend(self._heal(now, rng))
         return actions
 
@@ -180,7 +180,7 @@
         rows = self.view.members.rows.values()
         self._unmet -= {row.address for row in rows if row.serving}
         places = sorted(self._unmet)
-        chosen = rng.sample(places, min(MEET_CALLS, len(places)))
+        chosen = rng.sample(places, min(MAX_SEED_CALLS_PER_TICK, len(places)))
         self._unmet.difference_update(chosen)
         return [
             self.view.call_place("", place, "sync", now) for place in chosen
@@ -251,7 +251,7 @@
         if packet.probe in view.members.rows:
             empty = Packet(view.me.name)
             call = view.send(packet.probe, empty, "relay", now)
-            actions.append(call._replace(behalf=packet.sender))
+            actions.append(call._replace(on_behalf_of=packet.sender))
         return actions
 
     def _answer(self, packet: Packet, now: float) -> Reply:
@@ -287,9 +287,9 @@
         if call.packet.buckets:
             self._settle(call, reply)
             return self._return_rows(call, reply, now)
-        if call.purpose == "relay" and call.behalf in view.members.rows:
+        if call.purpose == "relay" and call.on_behalf_of in view.members.rows:
             packet = Packet(view.me.name, reached=call.target)
-            return [view.send(call.behalf, packet, "push", now)]
+            return [view.send(call.on_behalf_of, packet, "push", now)]
         if call.purpose == "probe":
             return self._compare(reply, now)
         return []
@@ -301,7 +301,7 @@
             return
         self._untried.discard(call.address)
         self._answers.add(reply.sender)
-        enough = min(ENOUGH_ANSWERS, len(self.view.find_others()))
+        enough = min(MIN_SYNC_ANSWERS, len(self.view.find_others()))
         if reply.current or len(self._answers) >= enough:
             self.view.settled = True
 
@@ -355,7 +355,7 @@
         view = self.view
         if row.region != view.me.region or now < self._busy_until:
             return []
-        if not view.detector.inquire(row, now):
+        if not view.detector.start_indirect_probe(row, now):
             return []
         avoid = view.detector.avoided(now)
         helpers = [
@@ -363,7 +363,7 @@
             for other in view.find_others()
             if other.region == row.region and other.name not in avoid
         ]
-        chosen = rng.sample(helpers, min(INDIRECT, len(helpers)))
+        chosen = rng.sample(helpers, min(INDIRECT_PROBES, len(helpers)))
         packet = Packet(view.me.name, probe=row.name)
         asked = [view.send(name, packet, "ask", now) for name in chosen]
         # Again directly: the driver has closed the connection, and a
--- a/lagoonpost/systems/hub.py
+++ b/lagoonpost/systems/hub.py
@@ -26,25 +26,25 @@
 
 from lagoonpost.tables.peer import Member
 
-MESH = 16
+MAX_MESH_GATEWAYS = 16
 """Gateways up to which all hear all: 16 of them send 600 reports a second at
 the usual pace, which a loop takes in 2% of a core at 30 us each."""
-LEAST_HUBS = 3
+MIN_HUBS = 3
 """Hubs that there are at least: one may be lost, one cut off, one is left."""
-READERS = 3
+STORE_READERS = 3
 """Hubs that read the store: one may be lost with its failure domain, one be
 turned away by the store, and one is left. If none is, backups take over."""
-BACKUPS = 2
+BACKUP_READERS_PER_DOMAIN = 2
 """Gateways of each failure domain that read the store when no reader does."""
 
-READER_WAIT_SECONDS = 0.5
+READER_LONG_POLL_SECONDS = 0.5
 """Longest time for which a reader lets the store hold a call back: its answer
 shows all others that it still reads."""
-CONTENDERS = 3
+DUTY_CONTENDERS = 3
 """Gateways that contend for the duties' lease: one may hold it, one be cut
 off from the store, and one is left; all of them would look nine times as
 often."""
-TAKE_OVER_SECONDS = 0.8
+READER_TAKEOVER_SECONDS = 0.8
 """What a gateway that begins to read needs to be up to date: a look whether it
 has to, the whole tables, and on slow links a large configuration."""
 
@@ -69,7 +69,7 @@
     mesh: bool
     backups: frozenset[str] = frozenset()
     contenders: tuple[str, ...] = ()
-    keepers: frozenset[str] = frozenset()
+    eligible_holders: frozenset[str] = frozenset()
 
 
 def choose_roles(members: Sequence[Member], lost: Collection[str]) -> Roles:
@@ -96,17 +96,19 @@
         (names[0] for names in domains.values()), key=lambda name: place[name]
     )
     others = [each.name for each in ordered if each.name not in firsts]
-    mesh = len(ordered) <= MESH
+    mesh = len(ordered) <= MAX_MESH_GATEWAYS
     hubs = (
         [each.name for each in ordered]
         if mesh
-        else firsts + others[: max(0, LEAST_HUBS - len(firsts))]
+        else firsts + others[: max(0, MIN_HUBS - len(firsts))]
     )
-    readers = frozenset(hubs if mesh else hubs[:READERS])
+    readers = frozenset(hubs if mesh else hubs[:STORE_READERS])
     backups = {
         name
         for names in domains.values()
-        for name in [each for each in names if each not in readers][:BACKUPS]
+        for name in [each for each in names if each not in readers][
+            :BACKUP_READERS_PER_DOMAIN
+        ]
     }
     able = [name for name in hubs if name not in lost] or hubs
     spread = [name for name in firsts + others if name in able]
@@ -115,12 +117,12 @@
         readers,
         mesh,
         frozenset(backups),
-        tuple(spread[:CONTENDERS]),
+        tuple(spread[:DUTY_CONTENDERS]),
         frozenset(able),
     )
 
 
-class Heard(NamedTuple):
+class ReportAge(NamedTuple):
     """How old the last news of others is, in seconds.
 
     Attributes:
@@ -132,7 +134,9 @@
     store: float
 
 
-def must_read(name: str, roles: Roles, heard: Heard, bound: float) -> bool:
+def should_read_store(
+    name: str, roles: Roles, age: ReportAge, bound: float
+) -> bool:
     """Tell whether a gateway reads the store.
 
     Args:
@@ -143,7 +147,5 @@
     """
     if name in roles.readers:
         return True
-    oldest = bound - TAKE_OVER_SECONDS
-    return heard.hub > oldest or (
-        heard.store > oldest and name in roles.backups
-    )
+    oldest = bound - READER_TAKEOVER_SECONDS
+    return age.hub > oldest or (age.store > oldest and name in roles.backups)
--- a/lagoonpost/systems/lease.py
+++ b/lagoonpost/systems/lease.py
@@ -39,11 +39,11 @@
 
     duration: float = 15.0
     margin: float = 1.0
-    renew: float = 5.0
+    renew_after: float = 5.0
     retry: float = 1.0
     poll: float = 5.0
     order: float = 5.0
-    rest: float = 5.0
+    handback_delay: float = 5.0
 
 
 class Read(NamedTuple):
@@ -72,7 +72,7 @@
     version: int
 
 
-class Seen(NamedTuple):
+class CurrentRow(NamedTuple):
     """The row as it is, by a read or a conflict; 0 and None: absent."""
 
     version: int
@@ -83,10 +83,10 @@
     """The store did not answer; a write may have taken effect."""
 
 
-Reply = Stored | Seen | NoReply
+Reply = Stored | CurrentRow | NoReply
 
-Gain = Literal["new", "released", "lapsed", "kept"]
-Loss = Literal["released", "lapsed", "taken"]
+GainReason = Literal["new", "released", "lapsed", "kept"]
+LossReason = Literal["released", "lapsed", "taken"]
 
 
 class Lease(NamedTuple):
@@ -122,21 +122,21 @@
     wanted: bool = True
     version: int = -1
     row: LeaseRow | None = None
-    seen: float = 0.0
-    sent: float = 0.0
-    until: float = 0.0
-    taken: float = 0.0
-    unsure: bool = True
+    first_seen: float = 0.0
+    write_sent: float = 0.0
+    expires: float = 0.0
+    acquired: float = 0.0
+    needs_read: bool = True
     not_before: float = 0.0
-    least_fence: int = 0
-    calls: int = 0
-    worked: float = -math.inf
+    min_fence: int = 0
+    in_flight: int = 0
+    last_effect: float = -math.inf
     started: float = -math.inf
 
 
 def is_held(lease: Lease, now: float) -> bool:
     """Tell whether this process holds the lease."""
-    return now < lease.until - lease.policy.margin
+    return now < lease.expires - lease.policy.margin
 
 
 def may_work(lease: Lease, now: float) -> bool:
@@ -146,7 +146,7 @@
 
 def begin_call(lease: Lease) -> Lease:
     """Return the lease with one more call under way."""
-    return lease._replace(calls=lease.calls + 1)
+    return lease._replace(in_flight=lease.in_flight + 1)
 
 
 def end_call(lease: Lease, sent: float, answered: bool, now: float) -> Lease:
@@ -160,7 +160,8 @@
     """
     effect = now if answered else max(now, sent + lease.policy.order)
     return lease._replace(
-        calls=lease.calls - 1, worked=max(lease.worked, effect)
+        in_flight=lease.in_flight - 1,
+        last_effect=max(lease.last_effect, effect),
     )
 
 
@@ -186,11 +187,11 @@
     """
     if checks_fence:
         return may_work(lease, now)
-    waited = now >= lease.taken + lease.policy.order
+    waited = now >= lease.acquired + lease.policy.order
     return waited and may_work(lease, now + lease.policy.order)
 
 
-def name_gain(before: Lease) -> Gain:
+def classify_gain(before: Lease) -> GainReason:
     """Return how a lease was free that was just taken.
 
     Args:
@@ -198,19 +199,19 @@
     """
     if before.row is None:
         return "new"
-    if before.until > 0 and _is_own(before):
+    if before.expires > 0 and _is_own(before):
         return "kept"
     return "lapsed" if before.row.holder else "released"
 
 
-def name_loss(lease: Lease) -> Loss:
+def classify_loss(lease: Lease) -> LossReason:
     """Return why a lease that was held just now no longer is."""
     if not lease.wanted:
         return "released"
     return "lapsed" if _is_own(lease) else "taken"
 
 
-def distrust(lease: Lease, era: int, now: float) -> Lease:
+def handle_store_rollback(lease: Lease, era: int, now: float) -> Lease:
     """Return the lease after the store came back from an older copy.
 
     A holder whose lease the store no longer has goes on to the end of it,
@@ -222,9 +223,10 @@
         now: Own time.
     """
     return lease._replace(
-        unsure=True,
-        not_before=now + max(lease.policy.duration, lease.policy.rest),
-        least_fence=make_stamp(era, 0),
+        needs_read=True,
+        not_before=now
+        + max(lease.policy.duration, lease.policy.handback_delay),
+        min_fence=make_stamp(era, 0),
     )
 
 
@@ -235,19 +237,19 @@
         lease: The lease as last seen.
         now: Own time, in seconds.
     """
-    if lease.unsure:
+    if lease.needs_read:
         return lease, Read()
     if is_held(lease, now):
         return _keep(lease, now)
     if not lease.wanted:
         return lease, Pause(lease.policy.poll)
     free = _find_free(lease)
-    if lease.calls and not _is_alone(lease):
-        return lease._replace(unsure=True), Pause(lease.policy.poll)
+    if lease.in_flight and not _is_alone(lease):
+        return lease._replace(needs_read=True), Pause(lease.policy.poll)
     if now < free:
         # Looking at the row again shows a renewal, which starts a new wait.
         pause = min(free - now, lease.policy.poll)
-        return lease._replace(unsure=True), Pause(pause)
+        return lease._replace(needs_read=True), Pause(pause)
     row = LeaseRow(
         lease.holder,
         lease.nonce,
@@ -262,32 +264,37 @@
     row = lease.row
     assert row is not None
     if not lease.wanted:
-        if lease.calls:
+        if lease.in_flight:
             return lease, Pause(lease.policy.poll)
         # The lease ends here before the row says so.
-        lease = lease._replace(until=0.0, worked=max(lease.worked, now))
+        lease = lease._replace(
+            expires=0.0, last_effect=max(lease.last_effect, now)
+        )
         before = (*row.before, row.holder)
         return _send(lease, row._replace(holder="", before=before), now)
-    age = now - (lease.until - lease.policy.duration)
-    if age < lease.policy.renew:
-        return lease, Pause(lease.policy.renew - age)
-    if now >= lease.taken + lease.policy.order + lease.policy.rest:
+    age = now - (lease.expires - lease.policy.duration)
+    if age < lease.policy.renew_after:
+        return lease, Pause(lease.policy.renew_after - age)
+    if (
+        now
+        >= lease.acquired + lease.policy.order + lease.policy.handback_delay
+    ):
         row = row._replace(before=())
     return _send(lease, row, now)
 
 
 def _find_free(lease: Lease) -> float:
     """Return the own time from which the lease may be taken."""
-    free = lease.seen
+    free = lease.first_seen
     if lease.row is not None and lease.row.holder:
         # Our own row after we lost track of it counts as anybody's: an order
         # given under its fencing number may still be under way.
         free += lease.row.duration
     if not _is_alone(lease):
-        free = max(free, lease.worked + lease.policy.rest)
+        free = max(free, lease.last_effect + lease.policy.handback_delay)
     if lease.holder in _list_holders(lease)[:-1]:
         late = lease.started + lease.policy.order
-        free = max(free, late + lease.policy.rest)
+        free = max(free, late + lease.policy.handback_delay)
     return max(free, lease.not_before) + lease.delay
 
 
@@ -306,9 +313,9 @@
     without knowing of the return, over a row with a higher number. Versions
     of the row only rise within an era, whoever writes it.
     """
-    if not lease.least_fence:
+    if not lease.min_fence:
         return get_fence(lease) + 1
-    return max(get_fence(lease), lease.least_fence, lease.version) + 1
+    return max(get_fence(lease), lease.min_fence, lease.version) + 1
 
 
 def _is_own(lease: Lease) -> bool:
@@ -322,15 +329,15 @@
     A store that came back from an older copy may have lost another's row.
     """
     if lease.row is None:
-        return lease.least_fence == 0
-    return _is_own(lease) and lease.row.fence > lease.least_fence
+        return lease.min_fence == 0
+    return _is_own(lease) and lease.row.fence > lease.min_fence
 
 
 def _send(lease: Lease, row: LeaseRow, now: float) -> tuple[Lease, Action]:
-    return lease._replace(sent=now), Put(lease.version, row)
+    return lease._replace(write_sent=now), Put(lease.version, row)
 
 
-def take_reply(
+def apply_reply(
     lease: Lease, put: Put | None, reply: Reply, now: float
 ) -> Lease:
     """Return the lease after the store's reply.
@@ -345,30 +352,30 @@
         case Stored(version):
             assert put is not None
             return _store(lease, put, version, now)
-        case Seen(version, row):
+        case CurrentRow(version, row):
             return _see(lease, version, row, now)
         case NoReply():
             # The write may have taken effect. What is held ends when it
             # would have ended without it, and a read shows what is there.
-            return lease._replace(unsure=True)
+            return lease._replace(needs_read=True)
 
 
 def _store(lease: Lease, put: Put, version: int, now: float) -> Lease:
     held = put.row.holder == lease.holder
     renewed = held and _is_own(lease) and put.row.fence == get_fence(lease)
-    if held and not renewed and put.row.fence <= lease.least_fence:
+    if held and not renewed and put.row.fence <= lease.min_fence:
         # Written before the era was known: another holder may have had it.
-        return lease._replace(unsure=True)
+        return lease._replace(needs_read=True)
     return lease._replace(
         version=version,
         row=put.row,
-        seen=now,
+        first_seen=now,
         # Counted from before the write was sent: others can only have seen
         # it later. Counted from its reply, a slow store would let this end
         # after another one's wait.
-        until=lease.sent + lease.policy.duration if held else 0.0,
-        taken=lease.taken if renewed else now,
-        unsure=False,
+        expires=lease.write_sent + lease.policy.duration if held else 0.0,
+        acquired=lease.acquired if renewed else now,
+        needs_read=False,
     )
 
 
@@ -376,18 +383,20 @@
     lease: Lease, version: int, row: LeaseRow | None, now: float
 ) -> Lease:
     if version == lease.version and lease.row == row:
-        return lease._replace(unsure=False)
+        return lease._replace(needs_read=False)
     ours = row is not None and row.nonce == lease.nonce
-    kept = ours and lease.until > 0 and get_fence(lease) == _fence(row)
-    end = min(now, lease.until - lease.policy.margin)
+    kept = ours and lease.expires > 0 and get_fence(lease) == _fence(row)
+    end = min(now, lease.expires - lease.policy.margin)
     return lease._replace(
         version=version,
         row=row,
-        seen=now,
+        first_seen=now,
         # A renewal with a lost reply: still ours, until the earlier end.
-        until=lease.until if kept else 0.0,
-        unsure=False,
-        worked=max(lease.worked, end) if lease.until > 0 else lease.worked,
+        expires=lease.expires if kept else 0.0,
+        needs_read=False,
+        last_effect=max(lease.last_effect, end)
+        if lease.expires > 0
+        else lease.last_effect,
     )
 
 
--- a/lagoonpost/systems/ledger.py
+++ b/lagoonpost/systems/ledger.py
@@ -12,11 +12,9 @@
 from lagoonpost.systems.booking import (
     Action,
     Answered,
-    Choose,
-    Chosen,
+    ChooseRunner,
     Earlier,
     Event,
-    Found,
     Lost,
     Mismatch,
     NoReply,
@@ -26,16 +24,18 @@
     Put,
     Ran,
     Refused,
-    Send,
+    RowConflict,
+    RunnerChosen,
+    SendRequest,
     Stored,
     Unknown,
 )
 from lagoonpost.tables.ledger import LedgerEntry, RecordedAnswer
 
-CLAIM_TRIES = 3
-RETRY_SECONDS = 0.1
-RETRY_CEILING_SECONDS = 5.0
-MAX_RECORDED_BODY = 64 * 1024
+MAX_CLAIM_WRITES = 3
+RETRY_BASE_SECONDS = 0.1
+RETRY_MAX_SECONDS = 5.0
+MAX_RECORDED_BODY_BYTES = 64 * 1024
 
 Phase = Literal["claiming", "placing", "sending", "voiding", "recording"]
 
@@ -53,10 +53,10 @@
         skew: Largest difference between the wall clocks of two hosts.
     """
 
-    dispatch: float = 5.0
-    settle: float = 3600.0
+    dispatch_timeout: float = 5.0
+    write_timeout: float = 3600.0
     retention: float = 7 * 86400.0
-    skew: float = 60.0
+    clock_skew: float = 60.0
 
 
 STORE_DOWN = Refused(503, "store_down", 2.0)
@@ -83,8 +83,8 @@
     policy: LedgerPolicy
     phase: Phase = "claiming"
     version: int = 0
-    unsettled: bool = False
-    tries: int = 0
+    claim_uncertain: bool = False
+    unanswered_writes: int = 0
     refusal: Refused = STORE_DOWN
     answered: bool = False
 
@@ -110,11 +110,11 @@
         timeout: Seconds the runner has for its answer.
         policy: The ledger's times.
     """
-    until = wall + policy.dispatch + timeout
+    until = wall + policy.dispatch_timeout + timeout
     # Expiry is reckoned from the moment at which the writer can no longer
     # dispatch. Were the row deleted earlier, another gateway could claim the
     # key anew while a writer that was frozen still dispatches.
-    expires = until + policy.retention + policy.skew
+    expires = until + policy.retention + policy.clock_skew
     return LedgerEntry("claimed", nonce, digest, gateway, wall, until, expires)
 
 
@@ -129,7 +129,7 @@
     return Attempt(claim, now, policy), [Put(0, claim)]
 
 
-def may_send(attempt: Attempt, now: float) -> bool:
+def may_dispatch(attempt: Attempt, now: float) -> bool:
     """Tell whether the dispatch may still go out.
 
     A gateway that is frozen between its claim and the dispatch and thawed
@@ -138,7 +138,7 @@
     even under the same. The time since the claim began, on a monotonic
     clock and checked right before the bytes leave, shows the pause.
     """
-    return now - attempt.started <= attempt.policy.dispatch
+    return now - attempt.started <= attempt.policy.dispatch_timeout
 
 
 def step(attempt: Attempt, event: Event, now: float) -> Step:
@@ -156,7 +156,7 @@
     match event:
         case Stored(version):
             return _place(attempt, version)
-        case Found(version, entry):
+        case RowConflict(version, entry):
             return _contend(attempt, version, entry, now)
         case NoReply(applied):
             return _doubt_claim(attempt, applied, now)
@@ -169,9 +169,9 @@
     """Go on by what is in the row that was to be claimed."""
     # The row has moved on from the version that earlier tries asked for,
     # so none of them can take effect any more.
-    attempt = attempt._replace(unsettled=False)
+    attempt = attempt._replace(claim_uncertain=False)
     if entry is None or entry.state == "void":
-        if not may_send(attempt, now):
+        if not may_dispatch(attempt, now):
             return _answer(attempt, TOO_LATE)
         # Nobody dispatches a void claim any more, so the key is free.
         attempt = attempt._replace(version=version)
@@ -191,46 +191,53 @@
 
 def _doubt_claim(attempt: Attempt, applied: bool | None, now: float) -> Step:
     """Settle a claim without a reply, by claiming again or voiding."""
-    unsettled = attempt.unsettled or applied is None
-    attempt = attempt._replace(unsettled=unsettled, tries=attempt.tries + 1)
+    unsettled = attempt.claim_uncertain or applied is None
+    attempt = attempt._replace(
+        claim_uncertain=unsettled,
+        unanswered_writes=attempt.unanswered_writes + 1,
+    )
     if not unsettled:
         return _answer(attempt, STORE_DOWN)
     # The write may have taken effect with its reply lost. Dispatching would
     # be wrong if another gateway has the key, and refusing would leave our
     # row behind. The same write again settles it: it either takes effect
     # or shows the row, and the nonce in it says whose it is.
-    again = applied is None and attempt.tries < CLAIM_TRIES
-    if again and may_send(attempt, now):
+    again = applied is None and attempt.unanswered_writes < MAX_CLAIM_WRITES
+    if again and may_dispatch(attempt, now):
         return attempt, [Put(attempt.version, attempt.claim)]
     return _give_up(attempt, now)
 
 
 def _give_up(attempt: Attempt, now: float) -> Step:
     """Tell the caller at once; void the claim in the background."""
-    attempt = attempt._replace(phase="voiding", answered=True, tries=0)
+    attempt = attempt._replace(
+        phase="voiding", answered=True, unanswered_writes=0
+    )
     attempt, retry = _retry(attempt, _voided(attempt), now)
     return attempt, [Unknown("store_down"), *retry]
 
 
 def _place(attempt: Attempt, version: int) -> Step:
-    attempt = attempt._replace(phase="placing", version=version, tries=0)
-    return attempt, [Choose()]
+    attempt = attempt._replace(
+        phase="placing", version=version, unanswered_writes=0
+    )
+    return attempt, [ChooseRunner()]
 
 
 def _placing(attempt: Attempt, event: Event, now: float) -> Step:
     match event:
         case NoRunner(status, reason, retry_after):
             return _void(attempt, Refused(status, reason, retry_after))
-        case Chosen() if may_send(attempt, now):
-            return attempt._replace(phase="sending"), [Send()]
-        case Chosen():
+        case RunnerChosen() if may_dispatch(attempt, now):
+            return attempt._replace(phase="sending"), [SendRequest()]
+        case RunnerChosen():
             return _void(attempt, TOO_LATE)
     raise _unexpected(attempt, event)
 
 
 def _sending(attempt: Attempt, event: Event, now: float) -> Step:
     match event:
-        case NotRun() if may_send(attempt, now):
+        case NotRun() if may_dispatch(attempt, now):
             return _place(attempt, attempt.version)
         case NotRun():
             return _void(attempt, TOO_LATE)
@@ -246,7 +253,7 @@
 
 
 def _bound(answer: RecordedAnswer) -> RecordedAnswer:
-    if len(answer.body) <= MAX_RECORDED_BODY:
+    if len(answer.body) <= MAX_RECORDED_BODY_BYTES:
         return answer
     return answer._replace(body=b"", whole=False)
 
@@ -254,7 +261,7 @@
 def _record(attempt: Attempt, entry: LedgerEntry, outcome: Outcome) -> Step:
     """Answer the caller at once and write the result down."""
     attempt = attempt._replace(
-        phase="recording", claim=entry, answered=True, tries=0
+        phase="recording", claim=entry, answered=True, unanswered_writes=0
     )
     return attempt, [outcome, Put(attempt.version, entry)]
 
@@ -263,14 +270,16 @@
     match event:
         case Stored():
             return attempt, []
-        case Found(version, entry):
+        case RowConflict(version, entry):
             ours = entry is not None and entry.nonce == attempt.claim.nonce
             if not ours or entry == attempt.claim:
                 return attempt, []
             attempt = attempt._replace(version=version)
             return _retry(attempt, attempt.claim, now)
         case NoReply():
-            attempt = attempt._replace(tries=attempt.tries + 1)
+            attempt = attempt._replace(
+                unanswered_writes=attempt.unanswered_writes + 1
+            )
             return _retry(attempt, attempt.claim, now)
     raise _unexpected(attempt, event)
 
@@ -282,7 +291,9 @@
     left behind would answer that try "unknown", and the booking would be
     lost although nobody ever dispatches it.
     """
-    attempt = attempt._replace(phase="voiding", refusal=refusal, tries=0)
+    attempt = attempt._replace(
+        phase="voiding", refusal=refusal, unanswered_writes=0
+    )
     return attempt, [Put(attempt.version, _voided(attempt))]
 
 
@@ -290,12 +301,14 @@
     match event:
         case Stored():
             return _answer(attempt, attempt.refusal)
-        case Found(version, entry):
+        case RowConflict(version, entry):
             return _void_found(attempt, version, entry, now)
         case NoReply():
             if not attempt.answered:
                 return _give_up(attempt, now)
-            attempt = attempt._replace(tries=attempt.tries + 1)
+            attempt = attempt._replace(
+                unanswered_writes=attempt.unanswered_writes + 1
+            )
             return _retry(attempt, _voided(attempt), now)
     raise _unexpected(attempt, event)
 
@@ -332,10 +345,10 @@
 
 def _retry(attempt: Attempt, entry: LedgerEntry, now: float) -> Step:
     """Write again after a while, unless it has been too long."""
-    if now - attempt.started > attempt.policy.settle:
+    if now - attempt.started > attempt.policy.write_timeout:
         return _answer(attempt, Unknown("store_down"))
-    delay = RETRY_SECONDS * 2.0 ** min(attempt.tries, 10)
-    put = Put(attempt.version, entry, min(delay, RETRY_CEILING_SECONDS))
+    delay = RETRY_BASE_SECONDS * 2.0 ** min(attempt.unanswered_writes, 10)
+    put = Put(attempt.version, entry, min(delay, RETRY_MAX_SECONDS))
     return attempt, [put]
 
 
--- a/lagoonpost/systems/membership.py
+++ b/lagoonpost/systems/membership.py
@@ -21,7 +21,7 @@
 # Two regions are joined by few members of each, so that the traffic between
 # regions does not grow with them. With one bridge in each failure domain
 # first, losing a domain leaves the regions joined.
-BRIDGES = 4
+BRIDGES_PER_REGION = 4
 LINKS_PER_BRIDGE = 2
 # A member that did not answer us is passed over for this long. Longer than
 # suspicion, so that it is dead for all before we would try it again.
@@ -30,7 +30,7 @@
 # suspect; SUSPICION_SECONDS is what it then has to refute. News takes well
 # under a second to all (bench/gossip.py), so that 4 s leave room for a
 # member that is slow; a false verdict costs only a refutation.
-INDIRECT = 3
+INDIRECT_PROBES = 3
 PROBE_SECONDS = 1.0
 SUSPICION_SECONDS = 4.0
 
@@ -48,7 +48,7 @@
     bridges: dict[str, tuple[str, ...]]
 
 
-def arrange(members: Iterable[Member], region: str) -> Topology:
+def build_topology(members: Iterable[Member], region: str) -> Topology:
     """Arrange the serving members as seen from a region."""
     serving = [row for row in members if row.serving]
     local = [row.name for row in serving if row.region == region]
@@ -101,7 +101,7 @@
     return (*ring[start:], *ring[: start - 1])
 
 
-def choose_links(
+def choose_bridge_links(
     topology: Topology, me: Member, avoid: Collection[str] = ()
 ) -> tuple[str, ...]:
     """Return the members of other regions that ``me`` is to talk to.
@@ -110,25 +110,25 @@
     number i begins at the i-th bridge of the other side, so that links
     don't all end at the same member.
     """
-    own = topology.bridges.get(me.region, ())[:BRIDGES]
+    own = topology.bridges.get(me.region, ())[:BRIDGES_PER_REGION]
     if me.name not in own:
         return ()
     number = own.index(me.name)
     chosen: list[str] = []
     for region, names in sorted(topology.bridges.items()):
         if region != me.region:
-            order = (*names[number:BRIDGES], *names[:number])
+            order = (*names[number:BRIDGES_PER_REGION], *names[:number])
             free = [name for name in order if name not in avoid]
             chosen.extend(free[:LINKS_PER_BRIDGE])
     return tuple(chosen)
 
 
-def suspect(row: Member, now: float) -> Member:
+def mark_suspect(row: Member, now: float) -> Member:
     """Return the row of a member that does not answer."""
     return row._replace(state="suspect", changed=now)
 
 
-def condemn(row: Member) -> Member:
+def mark_dead(row: Member) -> Member:
     """Return the row of a suspect that has not refuted in time.
 
     The time of the verdict follows from the suspicion alone, so all who
--- a/lagoonpost/systems/order.py
+++ b/lagoonpost/systems/order.py
@@ -16,18 +16,18 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-REPEAT = 30.0
-RETRY = 6.0
+REPEAT_SECONDS = 30.0
+RETRY_SECONDS = 6.0
 
 
-class Wanted(NamedTuple):
+class DesiredState(NamedTuple):
     """What a runner is to be: its versions and its role."""
 
     versions: tuple[str, ...]
     role: str = "serving"
 
 
-class Given(NamedTuple):
+class SentOrder(NamedTuple):
     """The last order given to a runner.
 
     Attributes:
@@ -37,15 +37,15 @@
         confirmed: Whether the runner took it.
     """
 
-    wanted: Wanted
+    desired: DesiredState
     fence: int
-    at: float
+    sent_at: float
     confirmed: bool
 
 
-def choose_due(
-    wanted: Mapping[str, Wanted],
-    given: Mapping[str, Given],
+def find_due_runners(
+    desired: Mapping[str, DesiredState],
+    sent: Mapping[str, SentOrder],
     fence: int,
     now: float,
 ) -> tuple[str, ...]:
@@ -59,14 +59,16 @@
     """
     return tuple(
         name
-        for name, state in wanted.items()
-        if _is_due(state, given.get(name), fence, now)
+        for name, state in desired.items()
+        if _is_due(state, sent.get(name), fence, now)
     )
 
 
 def _is_due(
-    wanted: Wanted, given: Given | None, fence: int, now: float
+    wanted: DesiredState, given: SentOrder | None, fence: int, now: float
 ) -> bool:
-    if given is None or (given.wanted, given.fence) != (wanted, fence):
+    if given is None or (given.desired, given.fence) != (wanted, fence):
         return True
-    return now - given.at >= (REPEAT if given.confirmed else RETRY)
+    return now - given.sent_at >= (
+        REPEAT_SECONDS if given.confirmed else RETRY_SECONDS
+    )
--- a/lagoonpost/systems/packet.py
+++ b/lagoonpost/systems/packet.py
@@ -70,10 +70,10 @@
     packet: Packet
     purpose: Purpose
     started: float
-    behalf: str = ""
+    on_behalf_of: str = ""
 
 
-class Learned(NamedTuple):
+class ChangedRows(NamedTuple):
     """Rows that are new in the own tables, also own ones."""
 
     members: tuple[Member, ...]
@@ -118,4 +118,4 @@
 
 
 Event = Tick | Flush | Publish | Leave | Received | Answered | Failed
-Action = Call | Reply | Learned
+Action = Call | Reply | ChangedRows
--- a/lagoonpost/systems/hearing.py
+++ b/lagoonpost/systems/reachability.py
@@ -11,14 +11,14 @@
 
 from lagoonpost.tables.peer import Member
 
-LOST_SECONDS = 3600.0
+DEAD_MAY_SERVE_SECONDS = 3600.0
 """How long a gateway that went without leaving may still serve somewhere:
 regions lose each other for an hour now and then. Of 320 hosts two are lost in
 an hour, so that what is kept for them is under a hundredth of a quota."""
 
 
-def find_unheard(
-    members: Iterable[Member], heard: Collection[str], now: float
+def find_unreachable(
+    members: Iterable[Member], reachable: Collection[str], now: float
 ) -> set[str]:
     """Return the names of gateways that may serve and are not heard.
 
@@ -30,21 +30,21 @@
     return {
         each.name
         for each in members
-        if each.name not in heard and _may_serve(each, now)
+        if each.name not in reachable and _may_serve(each, now)
     }
 
 
-def find_heard_part(heard: int, unheard: int) -> float:
+def compute_reachable_share(reachable: int, unreachable: int) -> float:
     """Return the part of all gateways that is heard, above 0 to 1.
 
     Args:
         heard: Gateways that are heard, the own one included.
         unheard: Gateways that may serve and are not heard.
     """
-    return heard / (heard + unheard)
+    return reachable / (reachable + unreachable)
 
 
 def _may_serve(row: Member, now: float) -> bool:
     if row.serving:
         return True
-    return row.state == "dead" and now - row.changed < LOST_SECONDS
+    return row.state == "dead" and now - row.changed < DEAD_MAY_SERVE_SECONDS
--- a/lagoonpost/systems/shard.py
+++ b/lagoonpost/systems/shard.py
@@ -19,10 +19,10 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-from lagoonpost.systems.subset import score
+from lagoonpost.systems.subset import rendezvous_score
 
-STAY = 60.0
-MOST_RANK = 3
+MIN_HOLD_SECONDS = 60.0
+MAX_CONTENDER_RANK = 3
 
 
 class Claim(NamedTuple):
@@ -34,11 +34,15 @@
 
 def rank_controller(shard: str, name: str, live: Collection[str]) -> int:
     """Return how many live controllers are preferred for ``shard``."""
-    own = score(shard, name)
-    return sum(score(shard, each) > own for each in live if each != name)
+    own = rendezvous_score(shard, name)
+    return sum(
+        rendezvous_score(shard, each) > own for each in live if each != name
+    )
 
 
-def choose_claim(rank: int, held: float | None, duration: float) -> Claim:
+def choose_claim(
+    rank: int, held_seconds: float | None, duration: float
+) -> Claim:
     """Decide whether to take, keep or hand over a shard.
 
     Args:
@@ -46,8 +50,8 @@
         held: Seconds for which it has been held, or None.
         duration: Length of a lease, in seconds.
     """
-    if held is not None:
-        return Claim(rank == 0 or held < STAY, 0.0)
-    if rank > MOST_RANK:
+    if held_seconds is not None:
+        return Claim(rank == 0 or held_seconds < MIN_HOLD_SECONDS, 0.0)
+    if rank > MAX_CONTENDER_RANK:
         return Claim(False, 0.0)
     return Claim(True, rank * duration)
--- a/lagoonpost/systems/subset.py
+++ b/lagoonpost/systems/subset.py
@@ -24,19 +24,19 @@
 
 from lagoonpost.tables.entity import Runner
 
-LEAST = 48
-MOST = 96
+MIN_SUBSET = 48
+MAX_SUBSET = 96
 
 
 def subset_size(runners: int, gateways: int) -> int:
     """Return how many of a service's runners one gateway talks to."""
-    if runners <= LEAST:
+    if runners <= MIN_SUBSET:
         return runners
     covering = math.ceil(runners * math.log(runners) / max(1, gateways))
-    return min(runners, MOST, max(LEAST, covering))
+    return min(runners, MAX_SUBSET, max(MIN_SUBSET, covering))
 
 
-def score(key: str, name: str) -> int:
+def rendezvous_score(key: str, name: str) -> int:
     """Return the rendezvous score of a name for a key."""
     return xxh3_64_intdigest(f"{key}\0{name}".encode())
 
@@ -64,7 +64,9 @@
         return [runner for group in domains.values() for runner in group]
     ranked = []
     for group in domains.values():
-        group.sort(key=lambda r: score(gateway, r.name), reverse=True)
+        group.sort(
+            key=lambda r: rendezvous_score(gateway, r.name), reverse=True
+        )
         ranked += [(rank, r.name, r) for rank, r in enumerate(group)]
     ranked.sort(key=lambda item: item[:2])
     return [runner for _, _, runner in ranked[:size]]
--- a/lagoonpost/systems/view.py
+++ b/lagoonpost/systems/view.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Iterable
 
-from lagoonpost.systems.detection import Detector
+from lagoonpost.systems.detection import FailureDetector
 from lagoonpost.systems.membership import (
     Topology,
-    arrange,
-    choose_links,
+    build_topology,
+    choose_bridge_links,
     choose_neighbours,
     refute,
 )
-from lagoonpost.systems.packet import Call, Learned, Packet, Purpose, Reply
+from lagoonpost.systems.packet import Call, ChangedRows, Packet, Purpose, Reply
 from lagoonpost.tables.fact import Fact, FactTable
 from lagoonpost.tables.peer import Member, MemberTable
 
@@ -31,7 +31,7 @@
         self.me = me
         self.members = MemberTable()
         self.facts = FactTable()
-        self.detector = Detector()
+        self.detector = FailureDetector()
         self.settled = settled
         self._topology: Topology | None = None
         # Rows to push, with the member that each came from.
@@ -52,12 +52,12 @@
         self._fact_news = {}
         return news
 
-    def take_learned(self) -> Learned | None:
+    def take_learned(self) -> ChangedRows | None:
         """Return the rows that are new since the last call, if any."""
         if not self._learned_members and not self._learned_facts:
             return None
         members = tuple(self._learned_members)
-        learned = Learned(members, tuple(self._learned_facts))
+        learned = ChangedRows(members, tuple(self._learned_facts))
         self._learned_members.clear()
         self._learned_facts.clear()
         return learned
@@ -91,7 +91,7 @@
         if changed.name == self.me.name:
             self.me = changed
         if changed.region == self.me.region:
-            self.detector.note(changed, now)
+            self.detector.record_state(changed, now)
         self._topology = None
         self._learned_members.append(changed)
         if self._passes_on(source):
@@ -116,10 +116,10 @@
         """Return the names of those whom this member calls."""
         if self._topology is None:
             rows = self.members.rows.values()
-            self._topology = arrange(rows, self.me.region)
+            self._topology = build_topology(rows, self.me.region)
         avoid = self.detector.avoided(now)
         near = choose_neighbours(self._topology, self.me.name, avoid)
-        return near + choose_links(self._topology, self.me, avoid)
+        return near + choose_bridge_links(self._topology, self.me, avoid)
 
     def buckets(self) -> tuple[int, ...]:
         """Return the digests of both tables, bucket by bucket."""
--- a/test/lease_model.py
+++ b/test/lease_model.py
@@ -4,6 +4,7 @@
 
 from lagoonpost.store.store import Committed, Condition, Write
 from lagoonpost.systems.lease import (
+    CurrentRow,
     Lease,
     LeasePolicy,
     NoReply,
@@ -11,23 +12,22 @@
     Put,
     Read,
     Reply,
-    Seen,
     Stored,
+    apply_reply,
     begin_call,
     choose_action,
-    distrust,
     end_call,
     get_fence,
+    handle_store_rollback,
     is_held,
     may_order,
     may_work,
-    take_reply,
 )
 from lagoonpost.tables.stamp import find_era, find_version, make_stamp
 from lagoonpost_standins.table import Table
 
 KEY = "lease/shard"
-POLICY = LeasePolicy(rest=3.2)
+POLICY = LeasePolicy(handback_delay=3.2)
 RETURN_SECONDS = 3.0
 """Time in which the work may not go from one holder to another and back."""
 
@@ -104,7 +104,7 @@
 
     def find_end(self) -> float:
         """Return the world time at which its lease ends."""
-        end = self.lease.until - self.lease.policy.margin
+        end = self.lease.expires - self.lease.policy.margin
         return (end - self._offset) / self._rate
 
     def is_held(self, now: float) -> bool:
@@ -145,7 +145,7 @@
         else:
             self._learn_era(holder)
             put = holder.call if isinstance(holder.call, Put) else None
-            holder.lease = take_reply(
+            holder.lease = apply_reply(
                 holder.lease, put, holder.reply, holder.clock(self.now)
             )
             holder.call = holder.reply = None
@@ -164,7 +164,7 @@
         elif holder.reply_era > holder.era:
             holder.era = holder.reply_era
             now = holder.clock(self.now)
-            holder.lease = distrust(holder.lease, holder.era, now)
+            holder.lease = handle_store_rollback(holder.lease, holder.era, now)
 
     def _serve(
         self, call: Put | Read, fault: str, known: int | None = None
@@ -182,7 +182,7 @@
 
     def _read(self) -> Reply:
         row = self.table.read([KEY])[0]
-        return Seen(self._stamp(row.version), row.value)
+        return CurrentRow(self._stamp(row.version), row.value)
 
     def _stamp(self, version: int) -> int:
         return make_stamp(self.era, version) if version else 0
@@ -195,7 +195,7 @@
         )
         row = outcome.rows[0]
         if not isinstance(outcome, Committed):
-            return Seen(self._stamp(row.version), row.value)
+            return CurrentRow(self._stamp(row.version), row.value)
         if put.version and find_era(put.version) < self.era:
             return NoReply()
         return Stored(self._stamp(row.version))
@@ -231,7 +231,9 @@
             self.go_on(holder)
         row = holder.lease.row
         if row is not None and row.holder and not holder.is_held(self.now):
-            free = holder.lease.seen + row.duration - holder.clock(self.now)
+            free = (
+                holder.lease.first_seen + row.duration - holder.clock(self.now)
+            )
             self.wait(max(0.0, free) / 0.99)
         for _ in range(8):
             self.go_on(holder)
--- a/test/ledger_model.py
+++ b/test/ledger_model.py
@@ -6,11 +6,9 @@
 from lagoonpost.systems.booking import (
     Action,
     Answered,
-    Choose,
-    Chosen,
+    ChooseRunner,
     Earlier,
     Event,
-    Found,
     Lost,
     Mismatch,
     NoReply,
@@ -20,7 +18,9 @@
     Put,
     Ran,
     Refused,
-    Send,
+    RowConflict,
+    RunnerChosen,
+    SendRequest,
     Stored,
 )
 from lagoonpost.systems.ledger import (
@@ -29,13 +29,13 @@
     begin,
     find_expired,
     make_claim,
-    may_send,
+    may_dispatch,
     step,
 )
 from lagoonpost.tables.ledger import LedgerEntry, RecordedAnswer
 from lagoonpost_standins.table import Table
 
-POLICY = LedgerPolicy(retention=1000.0, skew=60.0)
+POLICY = LedgerPolicy(retention=1000.0, clock_skew=60.0)
 TIMEOUT = 30.0
 
 
@@ -70,7 +70,7 @@
         """Hear an answer at once; keep the action that takes time."""
         self.action = None
         for action in actions:
-            if isinstance(action, Put | Choose | Send):
+            if isinstance(action, Put | ChooseRunner | SendRequest):
                 self.action = action
             else:
                 assert self.outcome is None, "answered twice"
@@ -105,7 +105,7 @@
         row = outcome.rows[0]
         if isinstance(outcome, Committed):
             return Stored(row.version)
-        return Found(row.version, row.value)
+        return RowConflict(row.version, row.value)
 
     def serve_store(self, caller: Caller, put: Put, fault: str) -> None:
         """Let the store serve ``put``, or fail at some point of it."""
@@ -122,7 +122,10 @@
 
     def serve_dispatch(self, caller: Caller, fault: str) -> None:
         """Let the gateway dispatch and the runner serve, or fail."""
-        if not may_send(caller.attempt, self.now) or fault == "unreachable":
+        if (
+            not may_dispatch(caller.attempt, self.now)
+            or fault == "unreachable"
+        ):
             caller.step(NotRun(), self.now)
             return
         if fault == "refused":
@@ -137,7 +140,7 @@
 
     def choose(self, caller: Caller, fault: str) -> None:
         """Choose a runner, or none."""
-        event: Event = Chosen()
+        event: Event = RunnerChosen()
         if fault == "no_runner":
             event = NoRunner(503, "no_runner", 1.0)
         caller.step(event, self.now)
@@ -147,9 +150,9 @@
         match caller.action:
             case Put() as put:
                 self.serve_store(caller, put, fault)
-            case Choose():
+            case ChooseRunner():
                 self.choose(caller, fault)
-            case Send():
+            case SendRequest():
                 self.serve_dispatch(caller, fault)
 
     def sweep(self) -> None:
--- a/test/peer_network.py
+++ b/test/peer_network.py
@@ -10,10 +10,10 @@
 from lagoonpost.systems.packet import (
     Answered,
     Call,
+    ChangedRows,
     Event,
     Failed,
     Flush,
-    Learned,
     Leave,
     Publish,
     Received,
@@ -110,7 +110,7 @@
         for action in node.step(event, self.now, self.rng):
             if isinstance(action, Call):
                 self._send(name, node, action)
-            elif isinstance(action, Learned):
+            elif isinstance(action, ChangedRows):
                 self._note(name, action)
             else:
                 reply = action
@@ -119,7 +119,7 @@
             self._at(FLUSH, lambda: self._flush(name))
         return reply
 
-    def _note(self, name: str, learned: Learned) -> None:
+    def _note(self, name: str, learned: ChangedRows) -> None:
         accused = [row for row in learned.members if row.state != "alive"]
         self.verdicts.extend(accused)
         for fact in learned.facts:
--- a/test/test_booking.py
+++ b/test/test_booking.py
@@ -231,7 +231,7 @@
             check_problem(await world.book(), 503, "not_run")
             assert get_runs(world) == 0
 
-        play(story, LedgerPolicy(dispatch=-1.0))
+        play(story, LedgerPolicy(dispatch_timeout=-1.0))
 
     def test_cancelled_caller_leaves_a_recorded_answer(self) -> None:
         """A caller hangs up in the middle of its booking and asks again."""
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -59,7 +59,7 @@
         network.run(5.0)
         assert sent.count("push") <= 3 * len(names)
 
-    def test_lost_pushes_are_made_good(self):
+    def test_lost_pushes_are_recovered(self):
         """One gateway goes on serving a tripped version for good.
 
         All three pushes of the trip to it were lost.
@@ -74,7 +74,7 @@
         network.run(30.0)
         assert TRIP.id in network.facts(victim)
 
-    def test_leaving_member_goes_on_hearing(self):
+    def test_leaving_member_still_receives_facts(self):
         """A draft that a leaving gateway still relays is lost.
 
         It resumed the draft at a runner that was leaving too: nobody
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -19,7 +19,7 @@
 from lagoonpost.store.lease import DEFAULT_POLICY, LeaseKeeper
 from lagoonpost.store.ledger import sweep
 from lagoonpost.store.store import Condition, Write
-from lagoonpost.systems.shard import STAY
+from lagoonpost.systems.shard import MIN_HOLD_SECONDS
 from lagoonpost.tables.gateway_report import GatewayReport
 from lagoonpost.tables.ledger import LedgerEntry
 
@@ -90,7 +90,7 @@
             assert before.fence < after.fence
 
 
-REST_SECONDS = DEFAULT_POLICY.order + DEFAULT_POLICY.rest
+REST_SECONDS = DEFAULT_POLICY.order + DEFAULT_POLICY.handback_delay
 """Time for which a host that held a lease lately leaves it after a start."""
 
 
@@ -111,7 +111,7 @@
             for number, name in enumerate(sorted(names)):
                 period = 0.7 + 0.4 * number
                 shards.start(name, lambda n=name, p=period: list_live(n, p))
-            await asyncio.sleep(20 * STAY)
+            await asyncio.sleep(20 * MIN_HOLD_SECONDS)
             await shards.close()
             return shards
 
--- a/test/test_holder.py
+++ b/test/test_holder.py
@@ -19,7 +19,7 @@
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.store.clock import read_clock
 from lagoonpost.store.lease import PREFIX
-from lagoonpost.systems.hub import CONTENDERS, Roles
+from lagoonpost.systems.hub import DUTY_CONTENDERS, Roles
 from lagoonpost.tables.lease import LeaseRow
 
 LEASE_KEY = PREFIX + LEASE_NAME
@@ -81,8 +81,8 @@
             self.hubs,
             hubs,
             True,
-            contenders=self.hubs[:CONTENDERS],
-            keepers=hubs,
+            contenders=self.hubs[:DUTY_CONTENDERS],
+            eligible_holders=hubs,
         )
 
     def read_lease(self) -> LeaseRow:
@@ -225,8 +225,8 @@
             began = read_clock()
             await wait_until(lambda: gateway.desk.begun > 0)
             keeper = gateway.duties._lease
-            await wait_until(lambda: keeper.lease.calls == 0)
-            worked = keeper.lease.worked
+            await wait_until(lambda: keeper.lease.in_flight == 0)
+            worked = keeper.lease.last_effect
             assert began + seconds <= worked <= read_clock() + seconds
 
         play(story)
@@ -237,7 +237,7 @@
         async def story(gateway: Gateway) -> None:
             policy = gateway.duties._lease.lease.policy
             clocks_apart = 1.02
-            assert policy.rest > BOUNDS.lease_seconds * clocks_apart
+            assert policy.handback_delay > BOUNDS.lease_seconds * clocks_apart
             assert policy.duration - policy.margin >= BOUNDS.lease_seconds
 
         play(story)
--- a/test/test_hub.py
+++ b/test/test_hub.py
@@ -5,14 +5,14 @@
 from lagoonpost.forwarding.reports import HUB_REPORTS, REPORT_SECONDS
 from lagoonpost.forwarding.shared import TURN_SECONDS
 from lagoonpost.systems.hub import (
-    BACKUPS,
-    CONTENDERS,
-    LEAST_HUBS,
-    MESH,
-    READER_WAIT_SECONDS,
-    Heard,
+    BACKUP_READERS_PER_DOMAIN,
+    DUTY_CONTENDERS,
+    MAX_MESH_GATEWAYS,
+    MIN_HUBS,
+    READER_LONG_POLL_SECONDS,
+    ReportAge,
     choose_roles,
-    must_read,
+    should_read_store,
 )
 from lagoonpost.tables.peer import Member, MemberState
 
@@ -41,8 +41,8 @@
 
 
 class TestRoles:
-    def test_few_gateways_are_all_both(self):
-        members = make_members(MESH, 3)
+    def test_few_gateways_form_a_mesh(self):
+        members = make_members(MAX_MESH_GATEWAYS, 3)
         roles = choose_roles(members, ())
         assert roles.mesh
         assert set(roles.hubs) == roles.readers == {m.name for m in members}
@@ -71,13 +71,13 @@
 
     def test_one_domain_has_several_hubs(self):
         roles = choose_roles(make_members(40, 1), ())
-        assert len(roles.hubs) == LEAST_HUBS
+        assert len(roles.hubs) == MIN_HUBS
 
     def test_all_choose_alike_in_whatever_order(self):
         members = make_members(50, 3)
         assert choose_roles(members, ()) == choose_roles(members[::-1], ())
 
-    def test_who_has_lost_the_store_is_passed_over(self):
+    def test_gateways_that_lost_the_store_are_skipped(self):
         """The store turns away the gateways that read it for the others.
 
         If they went on as readers, nobody would hear of a runner that
@@ -107,55 +107,58 @@
     ROLES = choose_roles(make_members(90, 3), ())
     ORDINARY = "gateway-089"
 
-    def find_who_reads(self, heard: Heard, bound: float = 3.0) -> set[str]:
+    def find_who_reads(self, heard: ReportAge, bound: float = 3.0) -> set[str]:
         return {
             each.name
             for each in make_members(90, 3)
-            if must_read(each.name, self.ROLES, heard, bound)
+            if should_read_store(each.name, self.ROLES, heard, bound)
         }
 
     @pytest.mark.parametrize(("gateways", "bound"), [(90, 3.0), (320, 4.0)])
-    def test_readers_that_read_are_relied_on(self, gateways, bound):
+    def test_others_do_not_read_while_readers_are_active(
+        self, gateways, bound
+    ):
         """All gateways would read the store where nothing has happened."""
         crowd = max(1.0, gateways / HUB_REPORTS / REPORT_SECONDS)
         hub = REPORT_SECONDS * crowd
-        oldest = Heard(hub, hub + TURN_SECONDS + READER_WAIT_SECONDS)
+        oldest = ReportAge(hub, hub + TURN_SECONDS + READER_LONG_POLL_SECONDS)
         assert self.find_who_reads(oldest, bound) == self.ROLES.readers
 
     def test_a_few_others_read_when_no_reader_does(self):
         """A lost store would get the calls of all gateways."""
-        reading = self.find_who_reads(Heard(0.4, 2.3))
+        reading = self.find_who_reads(ReportAge(0.4, 2.3))
         assert reading == self.ROLES.readers | self.ROLES.backups
-        assert len(self.ROLES.backups) == 3 * BACKUPS
+        assert len(self.ROLES.backups) == 3 * BACKUP_READERS_PER_DOMAIN
         assert not self.ROLES.backups & self.ROLES.readers
 
     def test_everyone_reads_when_the_hub_is_silent(self):
         """A configuration would not be in force in time."""
-        assert self.ORDINARY in self.find_who_reads(Heard(2.3, 2.3))
+        assert self.ORDINARY in self.find_who_reads(ReportAge(2.3, 2.3))
 
 
 class TestContenders:
     @pytest.mark.parametrize("gateways", [9, 67, 195])
-    def test_they_stand_in_different_domains(self, gateways):
+    def test_contenders_are_in_different_domains(self, gateways):
         """Guards against duties that nobody takes when a domain is lost."""
         members = make_sorted_members(gateways)
         roles = choose_roles(members, ())
         domains = {m.name: m.failure_domain for m in members}
-        assert len({domains[name] for name in roles.contenders}) == CONTENDERS
+        assert (
+            len({domains[name] for name in roles.contenders})
+            == DUTY_CONTENDERS
+        )
         assert set(roles.contenders) <= set(roles.hubs)
 
     @pytest.mark.parametrize("gateways", [9, 67])
-    def test_who_has_lost_the_store_neither_contends_nor_keeps_on(
-        self, gateways
-    ):
+    def test_gateway_that_lost_the_store_is_not_eligible(self, gateways):
         members = make_sorted_members(gateways)
         first = choose_roles(members, ()).contenders[0]
         roles = choose_roles(members, {first})
         assert first not in roles.contenders
-        assert first not in roles.keepers
+        assert first not in roles.eligible_holders
 
     @pytest.mark.parametrize("gateways", [9, 67, 195])
-    def test_who_comes_back_takes_no_role(self, gateways):
+    def test_restarted_gateway_takes_no_role(self, gateways):
         """Guards against duties that wait for gateways that just started."""
         members = make_sorted_members(gateways)
         before = choose_roles(members[1:], ())
@@ -164,11 +167,11 @@
         assert roles.contenders == before.contenders
         assert roles.mesh or roles.hubs == before.hubs
 
-    def test_a_few_keep_on_whoever_comes(self):
+    def test_restart_elsewhere_does_not_move_the_duties(self):
         """Guards against a healthy holder that a restart elsewhere moves."""
         members = make_sorted_members(9)
         (last, *_) = members[-1:]
-        assert last.name in choose_roles(members, ()).keepers
+        assert last.name in choose_roles(members, ()).eligible_holders
 
 
 def make_sorted_members(count: int) -> list[Member]:
--- a/test/test_lease.py
+++ b/test/test_lease.py
@@ -21,7 +21,11 @@
 from lagoonpost.store.lease import PREFIX, LeaseKeeper
 from lagoonpost.store.store import Row
 from lagoonpost.systems.lease import LeasePolicy
-from lagoonpost.systems.shard import STAY, choose_claim, rank_controller
+from lagoonpost.systems.shard import (
+    MIN_HOLD_SECONDS,
+    choose_claim,
+    rank_controller,
+)
 from lagoonpost.tables.lease import LeaseRow
 
 RATES = strategies.sampled_from([0.99, 1.0, 1.01])
@@ -315,7 +319,7 @@
         world.begin_call(old)
         assert len(world.calls) == 1
 
-    def test_alone_it_is_taken_back_at_once(self) -> None:
+    def test_sole_holder_reacquires_at_once(self) -> None:
         """Guards against work that stands still for nobody's sake."""
         world = World([1.0])
         (holder,) = world.holders
@@ -498,9 +502,9 @@
     def test_holder_that_is_not_preferred_hands_over_after_a_while(
         self,
     ) -> None:
-        assert choose_claim(1, STAY - 1, 15.0).wanted
-        assert not choose_claim(1, STAY, 15.0).wanted
-        assert choose_claim(0, STAY, 15.0).wanted
+        assert choose_claim(1, MIN_HOLD_SECONDS - 1, 15.0).wanted
+        assert not choose_claim(1, MIN_HOLD_SECONDS, 15.0).wanted
+        assert choose_claim(0, MIN_HOLD_SECONDS, 15.0).wanted
 
     def test_few_contend_however_many_there_are(self) -> None:
         live = [f"controller-{n}" for n in range(320)]
--- a/test/test_lost_push.py
+++ b/test/test_lost_push.py
@@ -41,7 +41,7 @@
 
 class TestLostPush:
     @pytest.mark.parametrize("seed", range(1, 9))
-    def test_is_made_good_soon(self, seed):
+    def test_is_recovered_soon(self, seed):
         """A runner that had left got requests of one gateway for seconds.
 
         Its neighbours had passed it over as too slow to answer.
@@ -51,9 +51,7 @@
 
 class TestReturnOfTheStore:
     @pytest.mark.parametrize("gateways", [9, 67, 195])
-    def test_news_of_a_later_era_is_known_to_those_that_were_away(
-        self, gateways: int
-    ):
+    def test_fact_of_a_later_era_reaches_resumed_members(self, gateways: int):
         """Guards against gateways that keep to versions from before."""
         network = Network(3)
         start_settled(network, gateways)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -4,15 +4,15 @@
 from hypothesis import strategies as st
 
 from lagoonpost.systems.membership import (
-    BRIDGES,
+    BRIDGES_PER_REGION,
     RINGS,
-    arrange,
-    choose_links,
+    build_topology,
+    choose_bridge_links,
     choose_neighbours,
-    condemn,
     first_incarnation,
+    mark_dead,
+    mark_suspect,
     refute,
-    suspect,
 )
 from lagoonpost.tables.fact import Fact, FactTable, merge_facts
 from lagoonpost.tables.peer import (
@@ -103,7 +103,7 @@
         """
         table = MemberTable()
         alive = make_member(1)
-        dead = condemn(suspect(alive, 100.0))
+        dead = mark_dead(mark_suspect(alive, 100.0))
         table.merge(dead, 104.0)
         back = 104.0 + 3600
         table.drop_expired(back)
@@ -132,7 +132,7 @@
         assert row is not None
         assert merge_members(earlier, row) == row
 
-    def test_who_left_stays_left(self):
+    def test_member_that_left_is_not_revived(self):
         left = make_member(1, state="left")
         assert refute(left, left._replace(state="dead"), 1.0) is None
 
@@ -146,7 +146,7 @@
         that do not talk to each other.
         """
         rows = [make_member(number) for number in range(count)]
-        topology = arrange(rows, "north")
+        topology = build_topology(rows, "north")
         avoid = {rows[n].name for n in avoided if 0 < n < count}
         reached = {rows[0].name}
         edge = [rows[0].name]
@@ -159,7 +159,7 @@
 
     def test_number_does_not_grow_with_the_members(self):
         rows = [make_member(number) for number in range(320)]
-        topology = arrange(rows, "north")
+        topology = build_topology(rows, "north")
         for row in rows:
             assert len(choose_neighbours(topology, row.name)) <= RINGS
 
@@ -169,11 +169,11 @@
             for region in ("north", "south")
             for number in range(40)
         ]
-        topology = arrange(rows, "north")
-        linked = [row for row in rows if choose_links(topology, row)]
-        assert len(linked) == 2 * BRIDGES
+        topology = build_topology(rows, "north")
+        linked = [row for row in rows if choose_bridge_links(topology, row)]
+        assert len(linked) == 2 * BRIDGES_PER_REGION
         for row in linked:
-            names = choose_links(topology, row)
+            names = choose_bridge_links(topology, row)
             assert all(not name.startswith(row.region) for name in names)
 
     def test_bridges_are_in_different_failure_domains(self):
@@ -183,7 +183,7 @@
         """
         rows = [make_member(number) for number in range(40)]
         rows += [make_member(number, "south") for number in range(40)]
-        topology = arrange(rows, "north")
-        linked = [row for row in rows if choose_links(topology, row)]
+        topology = build_topology(rows, "north")
+        linked = [row for row in rows if choose_bridge_links(topology, row)]
         domains = {row.failure_domain for row in linked}
-        assert len(domains) == 2 * BRIDGES
+        assert len(domains) == 2 * BRIDGES_PER_REGION
--- a/test/test_news.py
+++ b/test/test_news.py
@@ -230,8 +230,8 @@
 
     @pytest.fixture(autouse=True)
     def few_readers(self, monkeypatch):
-        monkeypatch.setattr(hub, "MESH", 3)
-        monkeypatch.setattr(hub, "BACKUPS", 1)
+        monkeypatch.setattr(hub, "MAX_MESH_GATEWAYS", 3)
+        monkeypatch.setattr(hub, "BACKUP_READERS_PER_DOMAIN", 1)
 
     def find_readers(self, stack: Stack) -> list[ForwardingDaemon]:
         return [each for each in stack.gateways if each._shared.is_reader()]
@@ -250,7 +250,9 @@
             tables = [d._follower.endpoints for d in others]
             tables += [d._follower.operator for d in others]
             rest = all(table._version is None for table in tables)
-            return rest and len(others) == len(stack.gateways) - hub.READERS
+            return (
+                rest and len(others) == len(stack.gateways) - hub.STORE_READERS
+            )
 
         await wait_until(are_resting)
         return self.find_others(stack)
--- a/test/test_order.py
+++ b/test/test_order.py
@@ -12,33 +12,33 @@
 from lagoonpost.store.lease import LeaseKeeper
 from lagoonpost.systems.lease import LeasePolicy
 from lagoonpost.systems.order import (
-    REPEAT,
-    RETRY,
-    Given,
-    Wanted,
-    choose_due,
+    REPEAT_SECONDS,
+    RETRY_SECONDS,
+    DesiredState,
+    SentOrder,
+    find_due_runners,
 )
 from lagoonpost.tables.entity import Runner
 from lagoonpost_standins.engine import EngineStandin
 from lagoonpost_standins.engine_batch import EngineOptions
 
-OLD = Wanted(("v1",))
-NEW = Wanted(("v1", "v2"))
+OLD = DesiredState(("v1",))
+NEW = DesiredState(("v1", "v2"))
 POLICY = LeasePolicy(2.0, 0.2, 0.2, 0.1, 0.1, 0.5)
 
 
 class TestChooseDue:
     def test_new_changed_and_overdue_runners_are_due(self) -> None:
         given = {
-            "fresh": Given(NEW, 3, 90.0, True),
-            "changed": Given(OLD, 3, 90.0, True),
-            "other lease": Given(NEW, 2, 90.0, True),
-            "silent": Given(NEW, 3, 100.0 - RETRY, False),
-            "waiting": Given(NEW, 3, 101.0 - RETRY, False),
-            "repeated": Given(NEW, 3, 100.0 - REPEAT, True),
+            "fresh": SentOrder(NEW, 3, 90.0, True),
+            "changed": SentOrder(OLD, 3, 90.0, True),
+            "other lease": SentOrder(NEW, 2, 90.0, True),
+            "silent": SentOrder(NEW, 3, 100.0 - RETRY_SECONDS, False),
+            "waiting": SentOrder(NEW, 3, 101.0 - RETRY_SECONDS, False),
+            "repeated": SentOrder(NEW, 3, 100.0 - REPEAT_SECONDS, True),
         }
         wanted = dict.fromkeys([*given, "new"], NEW)
-        due = set(choose_due(wanted, given, 3, 100.0))
+        due = set(find_due_runners(wanted, given, 3, 100.0))
         assert due == {"changed", "other lease", "silent", "repeated", "new"}
 
 
@@ -58,7 +58,7 @@
         ]
         self.orders = [Orders(self.client, each) for each in self.keepers]
 
-    async def order(self, controller: int, wanted: Wanted) -> None:
+    async def order(self, controller: int, wanted: DesiredState) -> None:
         await self.orders[controller].reconcile(
             [self.runner], {"engine": wanted}
         )
@@ -129,7 +129,9 @@
                 timeout=5.0,
             )
             orders = world.orders[0]._given
-            orders["engine"] = orders["engine"]._replace(at=-REPEAT)
+            orders["engine"] = orders["engine"]._replace(
+                sent_at=-REPEAT_SECONDS
+            )
             await world.order(0, NEW)
             assert world.engine.state.describe()["versions"] == ["v1", "v2"]
 
--- a/test/test_hearing.py
+++ b/test/test_reachability.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from lagoonpost.systems.hearing import (
-    LOST_SECONDS,
-    find_heard_part,
-    find_unheard,
-)
 from lagoonpost.systems.quota import Quotas
+from lagoonpost.systems.reachability import (
+    DEAD_MAY_SERVE_SECONDS,
+    compute_reachable_share,
+    find_unreachable,
+)
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.peer import Member, MemberState
 from lagoonpost.tables.quota import QuotaBounds
@@ -69,8 +69,8 @@
             else make_member(each)
             for each in range(GATEWAYS)
         ]
-        unheard = find_unheard(members, heard, now)
-        return find_heard_part(len(heard), len(unheard))
+        unheard = find_unreachable(members, heard, now)
+        return compute_reachable_share(len(heard), len(unheard))
 
     def tell(self, now: float) -> None:
         for one, quota in enumerate(self.quotas):
@@ -118,12 +118,14 @@
         most = quota * (1 + BOUNDS.overage) + BOUNDS.slack
         assert play(Fleet(cut, together), 3 * HOT.rate, seed) <= most
 
-    def test_those_that_left_need_no_part(self):
+    def test_members_that_left_are_not_counted(self):
         members = [make_member(0), make_member(1, "left", 10.0)]
-        assert not find_unheard(members, {"gateway-0"}, 11.0)
+        assert not find_unreachable(members, {"gateway-0"}, 11.0)
 
     def test_the_dead_are_forgotten_in_the_end(self):
         members = [make_member(0), make_member(1, "dead", 10.0)]
         heard = {"gateway-0"}
-        assert find_unheard(members, heard, 11.0) == {"gateway-1"}
-        assert not find_unheard(members, heard, 11.0 + LOST_SECONDS)
+        assert find_unreachable(members, heard, 11.0) == {"gateway-1"}
+        assert not find_unreachable(
+            members, heard, 11.0 + DEAD_MAY_SERVE_SECONDS
+        )
--- a/test/test_subset.py
+++ b/test/test_subset.py
@@ -4,14 +4,19 @@
 from hypothesis import strategies as st
 
 from bench.workload import make_declaration
-from lagoonpost.systems.subset import LEAST, MOST, choose_subset, subset_size
+from lagoonpost.systems.subset import (
+    MAX_SUBSET,
+    MIN_SUBSET,
+    choose_subset,
+    subset_size,
+)
 
 
 class TestSubset:
     @given(st.integers(0, 5000), st.integers(0, 500))
     def test_size_is_bounded(self, runners, gateways):
         size = subset_size(runners, gateways)
-        assert size == runners if runners <= LEAST else size <= MOST
+        assert size == runners if runners <= MIN_SUBSET else size <= MAX_SUBSET
 
     def test_every_runner_is_known_at_the_target_size(self):
         """Accelerators stand idle because no gateway sends to them."""
