--- a/lagoonpost/systems/booking.py
+++ b/lagoonpost/systems/booking.py
@@ -1,4 +1,4 @@
-"""What happens to one booking in the ledger, and what to do about it."""
+"""Events, actions and outcomes of the booking ledger."""
 
 from typing import NamedTuple
 
@@ -6,36 +6,48 @@
 
 
 class Stored(NamedTuple):
-    """The conditional write took effect; the row has this version."""
+    """The conditional write succeeded and created ``version``."""
 
     version: int
 
 
 class RowConflict(NamedTuple):
-    """The write was refused: the row is like this; 0 and None: absent."""
+    """The conditional write failed; holds the current row.
+
+    An absent row has version 0 and entry None.
+    """
 
     version: int
     entry: LedgerEntry | None
 
 
 class NoReply(NamedTuple):
-    """The store gave no answer; ``applied`` False: surely no effect."""
+    """The store did not reply.
+
+    Attributes:
+        applied: False if the write certainly had no effect, None if that is
+            unknown.
+    """
 
     applied: bool | None
 
 
 class RunnerChosen(NamedTuple):
-    """A runner was chosen."""
+    """A runner was selected."""
 
 
 class NotRun(NamedTuple):
-    """The dispatch surely did not run: ``refused`` so, or ``unreached``."""
+    """The booking was certainly not executed by the chosen runner.
+
+    Attributes:
+        kind: ``refused`` by the runner, or ``unreached``.
+    """
 
     kind: str = "refused"
 
 
 class NoRunner(NamedTuple):
-    """No runner is to be had; answer so."""
+    """No runner is available; holds the answer for the caller."""
 
     status: int
     reason: str
@@ -43,13 +55,13 @@
 
 
 class Answered(NamedTuple):
-    """The runner answered."""
+    """The runner returned a complete answer."""
 
     answer: RecordedAnswer
 
 
 class Lost(NamedTuple):
-    """The request went out, and no whole answer came back."""
+    """The request was sent, but no complete answer was received."""
 
     reason: str
 
@@ -67,7 +79,13 @@
 
 
 class Put(NamedTuple):
-    """Write the attempt's row if it has ``version``, after ``delay`` s."""
+    """Write the ledger row if its current version is ``version``.
+
+    Attributes:
+        version: Expected row version; 0 if absent.
+        entry: The entry to write.
+        delay: Seconds to wait before the write.
+    """
 
     version: int
     entry: LedgerEntry
@@ -75,31 +93,34 @@
 
 
 class ChooseRunner(NamedTuple):
-    """Choose a runner."""
+    """Select a runner."""
 
 
 class SendRequest(NamedTuple):
-    """Dispatch, if the bound still holds when the bytes leave."""
+    """Dispatch the request unless the dispatch timeout has passed.
+
+    The timeout is checked right before the first byte is sent.
+    """
 
 
 class Ran(NamedTuple):
-    """Answer the caller: this is the runner's answer."""
+    """Outcome: the booking ran; holds the runner's answer."""
 
     answer: RecordedAnswer
 
 
 class Earlier(NamedTuple):
-    """Answer the caller by what the ledger has under this key."""
+    """Outcome: an earlier request used the key; holds its entry."""
 
     entry: LedgerEntry
 
 
 class Mismatch(NamedTuple):
-    """Answer the caller: the key belongs to another request."""
+    """Outcome: the key was used for a request with a different digest."""
 
 
 class Refused(NamedTuple):
-    """Answer the caller: not run, and why."""
+    """Outcome: the booking was not executed, with the reason."""
 
     status: int
     reason: str
@@ -107,7 +128,7 @@
 
 
 class Unknown(NamedTuple):
-    """Answer the caller: it may have run or may run no more."""
+    """Outcome: it is unknown whether the booking was executed."""
 
     reason: str
 
--- a/lagoonpost/systems/detection.py
+++ b/lagoonpost/systems/detection.py
@@ -1,8 +1,9 @@
-"""Keeps who does not answer, who is suspect, and until when.
+"""Failure detector: unresponsive and suspect members and their timeouts.
 
-Pattern of load: a rack or failure domain lost at once gives many failed
-calls within a second. Each is judged by itself from few messages; what is
-avoided or suspect is kept for seconds only, so the tables stay small.
+Load pattern: the loss of a rack or failure domain causes many failed calls
+within a second. Each member is judged separately from a few messages.
+Avoided and suspect members are tracked for seconds only, so the tables stay
+small.
 """
 
 from typing import NamedTuple
@@ -18,18 +19,24 @@
 
 
 class IndirectProbe(NamedTuple):
-    """A member that did not answer and is being probed on other ways."""
+    """Pending indirect probes of a member that did not answer.
+
+    Attributes:
+        incarnation: Incarnation of the member that did not answer.
+        until: Time at which the member becomes suspect, in seconds.
+    """
 
     incarnation: int
     until: float
 
 
 class FailureDetector:
-    """The failure detector of one member; it judges its own region only.
+    """Failure detector of one member; it judges only its own region.
 
-    When regions lose each other, neither can tell a cut from a loss. If
-    they judged each other, all members of both would be dead on the other
-    side after an hour and would all refute when the cut heals.
+    Regions that cannot reach each other cannot distinguish a partition from
+    a failure. If they judged each other, after an hour each would have marked
+    all members of the other dead, and all would refute this at once when the
+    partition heals.
     """
 
     def __init__(self) -> None:
@@ -38,30 +45,34 @@
         self._suspects: dict[str, float] = {}
 
     def avoided(self, now: float) -> frozenset[str]:
-        """Return the names to pass over when choosing neighbours."""
-        held = self._avoided
-        return frozenset(name for name, end in held.items() if end > now)
+        """Return the names to skip when choosing neighbours."""
+        ends = self._avoided
+        return frozenset(name for name, end in ends.items() if end > now)
 
     def avoid(self, name: str, now: float) -> None:
-        """Pass a member over for a while."""
+        """Skip a member as neighbour for ``AVOID_SECONDS``."""
         self._avoided[name] = now + AVOID_SECONDS
 
     def start_indirect_probe(self, row: Member, now: float) -> bool:
-        """Begin to ask others about a member; False if already at it."""
+        """Start indirect probes of a member.
+
+        Returns:
+            False if probes are already pending or the member is not alive.
+        """
         if row.name in self._inquiries or row.state != "alive":
             return False
-        # A direct and an indirect probe, the latter over two hops.
+        # The indirect probe takes two hops, with one timeout per hop.
         until = now + 2 * PROBE_SECONDS
         self._inquiries[row.name] = IndirectProbe(row.incarnation, until)
         return True
 
     def clear(self, name: str) -> None:
-        """Note that a member answered."""
+        """Stop avoiding and probing a member that answered."""
         self._avoided.pop(name, None)
         self._inquiries.pop(name, None)
 
     def record_state(self, row: Member, now: float) -> None:
-        """Note a row that changed, to time its suspicion."""
+        """Start or stop the suspicion timeout after a row changed."""
         if row.state == "suspect":
             self._suspects[row.name] = now + SUSPICION_SECONDS
         else:
@@ -70,7 +81,7 @@
     def update_states(
         self, rows: dict[str, Member], now: float
     ) -> list[Member]:
-        """Return the rows of all verdicts that are due."""
+        """Return the rows that become suspect or dead at ``now``."""
         return [
             *self._find_suspects(rows, now),
             *self._find_dead(rows, now),
@@ -93,19 +104,22 @@
         due = [name for name, end in self._suspects.items() if end <= now]
         for name in due:
             del self._suspects[name]
-        held = [rows[name] for name in due if name in rows]
-        return [mark_dead(row) for row in held if row.state == "suspect"]
+        found = [rows[name] for name in due if name in rows]
+        return [mark_dead(row) for row in found if row.state == "suspect"]
 
     def drop_indirect_probes(self) -> None:
-        """Begin no verdict by what this member was too slow to hear."""
+        """Drop pending probes whose answers may wait unread.
+
+        Called when this member itself was too slow to read them in time.
+        """
         self._inquiries.clear()
 
     def reset(self) -> None:
-        """Drop what was found out before a freeze.
+        """Drop pending probes and avoided members after a process pause.
 
-        After a freeze all inquiries are overdue, while the answers to them
-        wait unread in sockets. Without this a thawed process would suspect
-        healthy members.
+        After a pause all pending probes are overdue while their answers wait
+        unread in sockets. Without the reset, the resumed process would
+        suspect healthy members.
         """
         self._inquiries.clear()
         self._avoided.clear()
--- a/lagoonpost/systems/gossip.py
+++ b/lagoonpost/systems/gossip.py
@@ -1,13 +1,13 @@
-"""Spreads facts and membership: one member's part, without a network.
-
-Pattern of load: few news on a quiet day, bursts when a failure domain is
-reclaimed, tables that differ by much after a partition. News is pushed at
-once over the few neighbours of the rings, each member passing each row on
-once; so a fact costs every member the same however many there are, and
-takes as many hops as the logarithm of their number. What a push loses, the
-digest in each probe finds within seconds, and only the buckets that differ
-are sent. Pushing without digests would lose facts for good; exchanging
-whole tables would take more than 3 KB a second at 320 members.
+"""Gossip protocol for facts and membership: one member, without I/O.
+
+Load pattern: few updates in normal operation, bursts when a failure domain is
+reclaimed, and large differences between tables after a partition. Updates are
+pushed at once to a few ring neighbours, and each member forwards a row once.
+The cost of a fact per member is therefore independent of the number of
+members, and a fact takes a logarithmic number of hops. The digest in each
+probe detects a lost push within seconds, and only buckets that differ are
+sent. Pushing without digests would lose facts permanently; exchanging whole
+tables would take more than 3 KB per second at 320 members.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -33,85 +33,92 @@
 from lagoonpost.systems.view import View
 from lagoonpost.tables.peer import Member
 
-# Ticks come every second. A process that saw none for three was frozen,
-# or so busy that its facts may be as old.
+# Ticks come every second. A process without a tick for three seconds was
+# suspended, or so overloaded that its facts may be equally old.
 TICK_SECONDS = 1.0
 STALL_SECONDS = 3.0
-# A tick that is later than this shows that this member is itself too slow to
-# tell whether others are: their answers wait unread in its sockets. All that
-# start together are slow for a while, and if they suspected each other, the
-# verdicts and their refutations would keep them slow.
+# A tick later than this shows that this member itself is overloaded and
+# cannot judge other members: their answers wait unread in its sockets.
+# Members that start together are all slow at first. If they suspected each
+# other, the suspicions and their refutations would keep them slow.
 LATE_TICK_SECONDS = 0.3
 OVERLOADED_SECONDS = 3.0
-# One member in HEAL_TICKS tries each second one that is held dead: 32
-# members a second at 320, so that a healed partition is found at once.
+# Each second about one member in HEAL_INTERVAL_TICKS calls a member that is
+# marked dead: 32 calls per second at 320 members, so that a healed partition
+# is detected at once.
 HEAL_INTERVAL_TICKS = 10
-# Members of other groups that are called in a second, where groups have
-# started apart. One that answers joins two groups whole, and hosts that start
-# together after a loss of power find all the others' places in the store: if
-# each called each, 195 of them would make 38,000 calls.
+# Limits the calls per second to addresses without a known member, which may
+# belong to a group that started separately. One answer merges two groups
+# completely. Hosts that restart together after a power loss find the
+# addresses of all others in the store: with 195 hosts, calling every address
+# would take 38,000 calls.
 MAX_SEED_CALLS_PER_TICK = 3
-# Peers that are themselves not current count as well once this many have
-# been asked, else a whole fleet that starts together would wait for ever.
+# Answers of this many peers suffice even if none of the peers is current;
+# otherwise members that all start together would wait forever.
 MIN_SYNC_ANSWERS = 3
-# News that is on its way makes digests differ for some 100 ms; only the
-# second difference in a row at a neighbour means that a push was lost.
+# Rows in flight make digests differ for about 100 ms. Only a second
+# consecutive difference at a neighbour indicates a lost push.
 DIFFERENCES_BEFORE_SYNC = 2
 
 
 class Gossip:
-    """What one member does about each event.
+    """Gossip state machine of one member.
+
+    Args:
+        me: Row of this member.
+        seeds: Addresses of other members, ``IP:PORT``.
+        started: Start time, in seconds since the epoch.
 
     Attributes:
-        view: The member's tables.
+        view: Tables of this member.
     """
 
     def __init__(
         self, me: Member, seeds: Sequence[str], started: float
     ) -> None:
         self._seeds = [seed for seed in seeds if seed != me.address]
-        self._untried = set(self._seeds)
-        self._unmet: set[str] = set()
+        self._untried_seeds = set(self._seeds)
+        self._unknown_addresses: set[str] = set()
         self.view = View(me, not self._seeds, started)
         self._differences: dict[str, int] = {}
         self._turn = 0
         self._last_tick = started
         self._busy_until = started
-        self._settled_after = started
+        self._resumed_at = started
         self._answers: set[str] = set()
 
     def current(self, now: float) -> bool:
-        """Return whether the facts are those of the others.
+        """Return whether the facts are up to date with other members.
 
-        False after a start or a freeze, until an exchange has succeeded.
-        Holds from the first instruction after a thaw, as it compares
-        ``now`` with the last tick, before any event has run.
+        False after a start or a process pause, until a sync has succeeded.
+        This is reliable from the first instruction after a pause, because
+        ``now`` is compared with the last tick before any event is handled.
         """
         return self.view.settled and now - self._last_tick <= STALL_SECONDS
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Take more addresses at which members may be found.
+        """Add addresses at which members may be found.
 
-        Those of nobody who is known to serve are called at the next ticks,
-        some at each. Members that start together find only some of the
-        others at their seeds, as not all listen yet, and are settled among
-        themselves.
+        Addresses without a known serving member are called during the next
+        ticks, a few per tick. Members that start together reach only some
+        others at their seeds, because not all are listening yet, and then
+        form a settled group of their own.
         """
         for address in addresses:
             if address == self.view.me.address:
                 continue
             if address not in self._seeds:
                 self._seeds.append(address)
-            self._unmet.add(address)
+            self._unknown_addresses.add(address)
 
     def step(self, event: Event, now: float, rng: Random) -> list[Action]:
-        """Take one event and return what to do.
+        """Handle one event and return the actions to perform.
 
         Args:
-            event: What happened.
+            event: The event.
             now: Time in seconds since the epoch, from a clock that is
-                never set back and that goes on while the host sleeps.
-            rng: Source of random choices.
+                never set back and keeps running while the host sleeps.
+            rng: Random number generator.
         """
         actions = self._check_stall(now)
         handler = _HANDLERS[type(event)]
@@ -124,12 +131,13 @@
     def _check_stall(self, now: float) -> list[Action]:
         if now - self._last_tick <= STALL_SECONDS:
             return []
-        # A process frozen for longer than suspicion is held dead by then;
-        # it learns so from its first exchange, and refutes.
+        # After a pause longer than the suspicion timeout, the other members
+        # have marked this one dead. It learns this from its first sync and
+        # refutes it.
         self._last_tick = now
-        self._settled_after = now
+        self._resumed_at = now
         self._answers.clear()
-        self._untried.update(self._seeds)
+        self._untried_seeds.update(self._seeds)
         self.view.settled = not self._seeds and not self.view.find_others()
         self.view.detector.reset()
         return self._call_each(self.view.neighbours(now), "sync", now)
@@ -144,13 +152,13 @@
         for row in view.detector.update_states(view.members.rows, now):
             view.adopt_member(row, view.me.name, now)
         if view.me.state == "left":
-            # Nobody pushes to it any more, yet it still serves what it
-            # has accepted; so it asks.
+            # A member that left still serves accepted requests but receives
+            # no pushes, so it pulls updates.
             return self._call_next("sync", now)
         actions = self._call_next("probe", now)
         if not view.settled:
             actions.extend(self._join(now))
-        actions.extend(self._meet(now, rng))
+        actions.extend(self._call_unknown_addresses(now, rng))
         if not view.find_others() or rng.randrange(HEAL_INTERVAL_TICKS) == 0:
             actions.extend(self._heal(now, rng))
         return actions
@@ -161,8 +169,8 @@
             return []
         self._turn += 1
         chosen = {names[self._turn % len(names)]}
-        # Who differed is asked again at once: in its turn that would be
-        # seconds later, and lost news would be known as late.
+        # A neighbour whose digest differed is probed again at once. Waiting
+        # for its turn would delay the detection of a lost push by seconds.
         chosen.update(name for name in names if name in self._differences)
         return self._call_each(sorted(chosen), purpose, now)
 
@@ -174,37 +182,40 @@
         seed = self._seeds[self._turn % len(self._seeds)]
         return [self.view.call_place("", seed, "sync", now)]
 
-    def _meet(self, now: float, rng: Random) -> list[Action]:
-        if not self._unmet:
+    def _call_unknown_addresses(self, now: float, rng: Random) -> list[Action]:
+        if not self._unknown_addresses:
             return []
         rows = self.view.members.rows.values()
-        self._unmet -= {row.address for row in rows if row.serving}
-        places = sorted(self._unmet)
-        chosen = rng.sample(places, min(MAX_SEED_CALLS_PER_TICK, len(places)))
-        self._unmet.difference_update(chosen)
+        self._unknown_addresses -= {row.address for row in rows if row.serving}
+        targets = sorted(self._unknown_addresses)
+        chosen = rng.sample(
+            targets, min(MAX_SEED_CALLS_PER_TICK, len(targets))
+        )
+        self._unknown_addresses.difference_update(chosen)
         return [
-            self.view.call_place("", place, "sync", now) for place in chosen
+            self.view.call_place("", address, "sync", now)
+            for address in chosen
         ]
 
     def _heal(self, now: float, rng: Random) -> list[Action]:
-        # After a partition each side holds the other dead and would probe
-        # only its own; without this nothing would ever join them again.
+        # During a partition each side marks the other dead and probes only
+        # its own members. Without these calls they would never merge again.
         rows = self.view.members.rows.values()
         serving = {row.address for row in rows if row.serving}
         dead = [row for row in rows if row.state == "dead"]
-        places = [(row.name, row.address) for row in dead]
+        targets = [(row.name, row.address) for row in dead]
         for seed in self._seeds:
             if seed not in serving:
-                places.append(("", seed))
-        places.extend(self._find_far_places(now))
-        if not places:
+                targets.append(("", seed))
+        targets.extend(self._find_remote_targets(now))
+        if not targets:
             return []
-        name, address = rng.choice(places)
+        name, address = rng.choice(targets)
         return [self.view.call_place(name, address, "heal", now)]
 
-    def _find_far_places(self, now: float) -> list[tuple[str, str]]:
-        # While regions are apart, all members of the other one that we
-        # would link to can be replaced; then only others can tell us.
+    def _find_remote_targets(self, now: float) -> list[tuple[str, str]]:
+        # While regions are partitioned, all bridge members of the remote
+        # region may be replaced. Only its other members are then reachable.
         rows = self.view.members.rows
         avoided = self.view.detector.avoided(now)
         regions = {rows[name].region for name in avoided if name in rows}
@@ -281,8 +292,8 @@
         view.adopt(reply, reply.sender, now)
         view.detector.clear(reply.sender)
         if call.target not in ("", reply.sender):
-            # The address of a lost host was given to another one. Its
-            # answer must not keep the lost member alive.
+            # The address of a lost host was reassigned to another member,
+            # whose answer must not keep the lost member alive.
             return self._fail(Failed(call), now, rng)
         if call.packet.buckets:
             self._settle(call, reply)
@@ -295,11 +306,11 @@
         return []
 
     def _settle(self, call: Call, reply: Reply) -> None:
-        # An answer to a question asked before a freeze may have lain in
-        # the socket all the while, and so be as old as our own tables.
-        if call.started < self._settled_after:
+        # The answer to a call from before a process pause may have waited
+        # in the socket, so it may be as old as the tables of this member.
+        if call.started < self._resumed_at:
             return
-        self._untried.discard(call.address)
+        self._untried_seeds.discard(call.address)
         self._answers.add(reply.sender)
         enough = min(MIN_SYNC_ANSWERS, len(self.view.find_others()))
         if reply.current or len(self._answers) >= enough:
@@ -334,24 +345,26 @@
         call = event.call
         view = self.view
         if call.purpose == "sync" and not call.target:
-            self._give_up_seed(call.address)
-            if not view.settled and self._untried:
+            self._drop_seed(call.address)
+            if not view.settled and self._untried_seeds:
                 return self._join(now)
         row = view.members.rows.get(call.target)
-        if row is None or call.purpose not in _JUDGED:
+        if row is None or call.purpose not in _PROBE_ON_FAILURE:
             return []
         before = view.neighbours(now)
         view.detector.avoid(row.name, now)
         actions: list[Action] = []
         if call.packet.members or call.packet.facts:
-            # The next on the ring gets what this one did not take.
+            # Send the rows to the member that replaces the failed neighbour.
             for name in view.neighbours(now):
                 if name not in before:
                     packet = call.packet
                     actions.append(view.send(name, packet, "push", now))
-        return actions + self._inquire(row, now, rng)
+        return actions + self._probe_indirectly(row, now, rng)
 
-    def _inquire(self, row: Member, now: float, rng: Random) -> list[Action]:
+    def _probe_indirectly(
+        self, row: Member, now: float, rng: Random
+    ) -> list[Action]:
         view = self.view
         if row.region != view.me.region or now < self._busy_until:
             return []
@@ -366,14 +379,14 @@
         chosen = rng.sample(helpers, min(INDIRECT_PROBES, len(helpers)))
         packet = Packet(view.me.name, probe=row.name)
         asked = [view.send(name, packet, "ask", now) for name in chosen]
-        # Again directly: the driver has closed the connection, and a
-        # connection can be silent for good while a new one works.
+        # Also probe directly again: the driver has closed the connection,
+        # and a new connection may work where the old one was stalled.
         return [*asked, *self._call_each((row.name,), "ask", now)]
 
-    def _give_up_seed(self, address: str) -> None:
-        # The first process of all finds nobody at any of its seeds.
-        self._untried.discard(address)
-        if not self._untried and not self.view.find_others():
+    def _drop_seed(self, address: str) -> None:
+        # The first process of a deployment reaches no member at any seed.
+        self._untried_seeds.discard(address)
+        if not self._untried_seeds and not self.view.find_others():
             self.view.settled = True
 
     def _call_each(
@@ -382,8 +395,8 @@
         return [self.view.call(name, purpose, now) for name in names]
 
 
-# Calls after which a member that did not answer is inquired about.
-_JUDGED: frozenset[Purpose] = frozenset(("probe", "push", "sync"))
+# Purposes of calls whose failure starts an indirect probe of the target.
+_PROBE_ON_FAILURE: frozenset[Purpose] = frozenset(("probe", "push", "sync"))
 
 _Handler = Callable[[Gossip, Any, float, Random], list[Action]]
 _HANDLERS: dict[type, _Handler] = {
--- a/lagoonpost/systems/hub.py
+++ b/lagoonpost/systems/hub.py
@@ -1,24 +1,26 @@
-"""Which gateways hear all others, read the store for all, do the duties.
-
-Pattern of load: each gateway needs to know what all of them have under way
-and have let through, and which runners there are. Told by everyone to
-everyone, that is the square of their number: 82 gateways sent 297 MB between
-failure domains in 78 s, and each followed the store for itself, 15,123 calls.
-
-Up to ``MESH`` gateways all do so, as the square is small and news has one way
-less to go. Beyond it one gateway of each failure domain is its hub: all send
-their reports to all hubs, and each hub sends the sums to its own failure
-domain. A few hubs read the store and tell the others of what has changed:
-three readers at times of their own bring news nearly as soon as ten, at a
-third of the calls. All choose from the same list of members, so nobody has to
-be asked, and who is lost or has lost the store is passed over. Who has run
-longest undisturbed comes first: one that comes back and has to hear all anew
-takes no role from one that runs.
-
-That a reader is lost shows only after seconds. Hubs say how old the readers'
-news is. If it is too old, a few backups read as well; if the hub itself is
-silent, its domain reads. Not all do in the first case, as it may be the store
-that is lost, which would get the calls of all at its return.
+"""Roles of gateways: report hubs, store readers and holders of duties.
+
+Load pattern: each gateway needs to know the in-flight and admitted requests
+of all gateways and the current runners. Broadcasting this from every gateway
+to every other grows quadratically: 82 gateways sent 297 MB between failure
+domains in 78 s, and watched the store separately with 15,123 calls.
+
+Up to ``MAX_MESH_GATEWAYS`` gateways form a full mesh, which is still cheap and
+saves one hop. In larger deployments each failure domain has a hub: all
+gateways send their reports to all hubs, and each hub sends the sums to its
+own failure domain. A few hubs read the store and publish changes: three
+readers with staggered reads detect changes nearly as soon as ten, with a
+third of the calls. All gateways choose from the same member list, so no
+election is needed, and gateways that failed or lost the store are skipped.
+Gateways that have run longest without interruption come first, so that a
+restarted gateway without current data does not take over a role from a
+running one.
+
+The failure of a reader shows only after seconds, so hubs report the age of
+the readers' data. If it is too old, a few backups read as well; if the hub
+itself is silent, all gateways of its domain read. In the first case not all
+gateways read, as the store itself may be down and would receive the calls of
+all gateways when it recovers.
 """
 
 from collections.abc import Collection, Sequence
@@ -27,41 +29,44 @@
 from lagoonpost.tables.peer import Member
 
 MAX_MESH_GATEWAYS = 16
-"""Gateways up to which all hear all: 16 of them send 600 reports a second at
-the usual pace, which a loop takes in 2% of a core at 30 us each."""
+"""Largest number of gateways in a full mesh: 16 gateways send 600 reports per
+second at the default interval, which cost the event loop 2% of a core at
+30 us per report."""
 MIN_HUBS = 3
-"""Hubs that there are at least: one may be lost, one cut off, one is left."""
+"""Minimum number of hubs: with one failed and one partitioned, one is left."""
 STORE_READERS = 3
-"""Hubs that read the store: one may be lost with its failure domain, one be
-turned away by the store, and one is left. If none is, backups take over."""
+"""Number of hubs that read the store: with one lost together with its failure
+domain and one rejected by the store, one is left. If all three are
+unavailable, the backups take over."""
 BACKUP_READERS_PER_DOMAIN = 2
-"""Gateways of each failure domain that read the store when no reader does."""
+"""Gateways per failure domain that read the store when no reader does."""
 
 READER_LONG_POLL_SECONDS = 0.5
-"""Longest time for which a reader lets the store hold a call back: its answer
-shows all others that it still reads."""
+"""Maximum long-poll duration of a reader's call to the store. The answer shows
+all other gateways that the reader is still active."""
 DUTY_CONTENDERS = 3
-"""Gateways that contend for the duties' lease: one may hold it, one be cut
-off from the store, and one is left; all of them would look nine times as
-often."""
+"""Gateways that contend for the duties' lease: with one holding it and one cut
+off from the store, one is left. If all gateways contended, the lease would be
+polled nine times as often."""
 READER_TAKEOVER_SECONDS = 0.8
-"""What a gateway that begins to read needs to be up to date: a look whether it
-has to, the whole tables, and on slow links a large configuration."""
+"""Time a gateway needs to become current when it starts reading: the check
+whether it has to read, the whole tables and, on slow links, a large
+configuration."""
 
 
 class Roles(NamedTuple):
-    """Who does what for the others.
+    """Roles of the gateways.
 
     Attributes:
-        hubs: Names of those that hear all reports, in order of preference.
-        readers: Names of those that read the store.
-        mesh: Whether all gateways are both.
-        backups: Names of those that read it when the readers seem not to.
-        contenders: Names of those that take the duties if they are free, in
-            as many failure domains as there are.
-        keepers: Names of those that go on with the duties once they do them:
-            hubs that have not lost the store. Who comes or goes elsewhere
-            does not move the duties.
+        hubs: Gateways that receive all reports, in order of preference.
+        readers: Gateways that read the store.
+        mesh: Whether all gateways are both hubs and readers.
+        backups: Gateways that read the store if the readers appear inactive.
+        contenders: Gateways that acquire the duties' lease when it is free,
+            spread over as many failure domains as possible.
+        eligible_holders: Gateways that may keep the duties once they hold
+            them: hubs that have not lost the store. Other gateways joining
+            or leaving does not move the duties.
     """
 
     hubs: tuple[str, ...]
@@ -73,32 +78,32 @@
 
 
 def choose_roles(members: Sequence[Member], lost: Collection[str]) -> Roles:
-    """Choose hubs and readers.
+    """Assign all roles.
 
     Args:
-        members: All gateways that are held to run.
-        lost: Names of those that have lost the store.
+        members: All gateways that are assumed to be running.
+        lost: Names of gateways that have lost the store.
     """
     ordered = sorted(
         members,
-        key=lambda each: (
-            each.name in lost,
-            each.state != "alive",
-            each.incarnation,
-            each.name,
+        key=lambda member: (
+            member.name in lost,
+            member.state != "alive",
+            member.incarnation,
+            member.name,
         ),
     )
     domains: dict[str, list[str]] = {}
-    for each in ordered:
-        domains.setdefault(each.failure_domain, []).append(each.name)
-    place = {each.name: index for index, each in enumerate(ordered)}
+    for member in ordered:
+        domains.setdefault(member.failure_domain, []).append(member.name)
+    rank = {member.name: index for index, member in enumerate(ordered)}
     firsts = sorted(
-        (names[0] for names in domains.values()), key=lambda name: place[name]
+        (names[0] for names in domains.values()), key=lambda name: rank[name]
     )
-    others = [each.name for each in ordered if each.name not in firsts]
+    others = [member.name for member in ordered if member.name not in firsts]
     mesh = len(ordered) <= MAX_MESH_GATEWAYS
     hubs = (
-        [each.name for each in ordered]
+        [member.name for member in ordered]
         if mesh
         else firsts + others[: max(0, MIN_HUBS - len(firsts))]
     )
@@ -106,28 +111,28 @@
     backups = {
         name
         for names in domains.values()
-        for name in [each for each in names if each not in readers][
+        for name in [other for other in names if other not in readers][
             :BACKUP_READERS_PER_DOMAIN
         ]
     }
-    able = [name for name in hubs if name not in lost] or hubs
-    spread = [name for name in firsts + others if name in able]
+    eligible = [name for name in hubs if name not in lost] or hubs
+    spread = [name for name in firsts + others if name in eligible]
     return Roles(
         tuple(hubs),
         readers,
         mesh,
         frozenset(backups),
         tuple(spread[:DUTY_CONTENDERS]),
-        frozenset(able),
+        frozenset(eligible),
     )
 
 
 class ReportAge(NamedTuple):
-    """How old the last news of others is, in seconds.
+    """Age of the data that a gateway last received, in seconds.
 
     Attributes:
-        hub: Since the hub last sent its sums.
-        store: Since the store last answered a reader, as far as heard.
+        hub: Time since the hub last sent its sums.
+        store: Time since the store is last known to have answered a reader.
     """
 
     hub: float
@@ -137,13 +142,13 @@
 def should_read_store(
     name: str, roles: Roles, age: ReportAge, bound: float
 ) -> bool:
-    """Tell whether a gateway reads the store.
+    """Return whether a gateway should read the store itself.
 
     Args:
-        name: Its name.
-        roles: Who does what.
-        heard: What it knows of the readers.
-        bound: Seconds in which news of the store has to be known.
+        name: Name of the gateway.
+        roles: Roles of all gateways.
+        age: Age of the data that the gateway last received.
+        bound: Seconds within which a change in the store must be known.
     """
     if name in roles.readers:
         return True
--- a/lagoonpost/systems/lease.py
+++ b/lagoonpost/systems/lease.py
@@ -1,14 +1,15 @@
-"""The leases' decisions: one holder at a time, without comparing clocks.
-
-No time of day is stored. A contender times the row by its own clock from the
-moment at which it first saw this version of it. The holder times its lease
-from the moment before it sent the write that made this version, which is
-earlier than anybody can have seen it. So the holder's time ends first, however
-slow the store is and wherever either of them is paused.
-
-A released lease is free at once, for others. Who held it rests before it takes
-it back from them: the effects of its last work, of which it may not know when
-they came, must not mix with those of the holder in between.
+"""Lease state machine: one holder at a time, without comparing clocks.
+
+No wall clock time is stored. A contender measures the lease duration on its
+own clock from the moment it first reads the current row version. The holder
+measures from before it sent the write that created that version, which is
+earlier than any contender can have read it. The holder's lease therefore
+expires first, however slow the store is and wherever a process is paused.
+
+Other hosts may acquire a released lease at once. A previous holder waits
+before it reacquires the lease from another host: its last requests may take
+effect at a time unknown to it, and these effects must not interleave with
+those of the holder in between.
 """
 
 import math
@@ -19,22 +20,22 @@
 
 
 class LeasePolicy(NamedTuple):
-    """Times of leases, in seconds.
+    """Lease timing, in seconds.
 
     Attributes:
-        duration: How long a lease lasts without renewal. A pause shorter
-            than this costs nothing, and work stands still for about this
-            long when a holder dies.
-        margin: By how much the holder stops earlier. It covers clocks that
-            run up to 2 % faster than each other over ``duration``, and the
-            time between a check and what it allows.
-        renew: Age at which the holder renews, so that two renewals may fail
-            before the lease lapses.
-        retry: Pause after a call that the store did not answer.
-        poll: Pause between looks at a lease that another one holds.
-        order: Longest time from sending an order to its effect.
-        rest: Least time from the last work of a host to its next, where
-            another one may have held the lease in between.
+        duration: Time after which a lease expires unless it is renewed. A
+            holder survives a shorter pause; when a holder dies, its work
+            stops for about this long.
+        margin: Time before expiry at which the holder stops working. It
+            covers a clock rate difference of up to 2 % over ``duration``
+            and the time between checking the lease and acting on it.
+        renew_after: Lease age at which the holder renews. Two renewals may
+            fail before the lease expires.
+        retry: Delay before retrying after the store did not reply.
+        poll: Interval between reads of a lease held by another process.
+        order: Maximum time from sending an order until it takes effect.
+        handback_delay: Minimum time between two periods of work of the same
+            host if another host may have held the lease in between.
     """
 
     duration: float = 15.0
@@ -47,18 +48,18 @@
 
 
 class Read(NamedTuple):
-    """Read the row."""
+    """Read the lease row."""
 
 
 class Put(NamedTuple):
-    """Write the row if it has ``version``."""
+    """Write the lease row if its current version is ``version``."""
 
     version: int
     row: LeaseRow
 
 
 class Pause(NamedTuple):
-    """Do nothing for some seconds."""
+    """Wait before choosing the next action."""
 
     seconds: float
 
@@ -67,20 +68,23 @@
 
 
 class Stored(NamedTuple):
-    """The conditional write took effect; the row has this version."""
+    """The conditional write succeeded and created ``version``."""
 
     version: int
 
 
 class CurrentRow(NamedTuple):
-    """The row as it is, by a read or a conflict; 0 and None: absent."""
+    """The current row, from a read or a write conflict.
+
+    An absent row has version 0 and row None.
+    """
 
     version: int
     row: LeaseRow | None
 
 
 class NoReply(NamedTuple):
-    """The store did not answer; a write may have taken effect."""
+    """The store did not reply; a write may have taken effect."""
 
 
 Reply = Stored | CurrentRow | NoReply
@@ -92,27 +96,31 @@
 class Lease(NamedTuple):
     """One process's view of one lease.
 
+    All times are in seconds on the local clock of this process.
+
     Attributes:
         holder: Name of this process.
-        nonce: Unique to this process.
-        policy: Times.
-        delay: Seconds to wait beyond the lease's end before taking it, so
-            that the preferred contender comes first.
-        wanted: Whether this process wants to hold it.
-        version: Version of the row as last seen; -1 before that.
-        row: The row as last seen.
-        seen: Own time at which this version was first seen.
-        sent: Own time right before the write that is under way was sent.
-        until: Own time at which the lease ends; 0 if it is not held.
-        taken: Own time at which it was taken.
-        unsure: Whether the row must be read before anything else.
-        not_before: Own time before which it is not taken.
-        least_fence: Fencing number from which on no other holder can have
-            had the next one.
-        calls: Calls under way that this process makes by the lease.
-        worked: Own time until which work of this process may have effects.
-        started: Own time at which this process started. The work of one that
-            ran on this host before may have effects later.
+        nonce: Unique identifier of this process instance.
+        policy: Lease timing.
+        delay: Seconds to wait after the lease becomes free before acquiring
+            it, so that the preferred contender goes first.
+        wanted: Whether this process wants to hold the lease.
+        version: Last known version of the row; -1 before the first read.
+        row: Last known content of the row.
+        first_seen: Time at which ``version`` was first seen.
+        write_sent: Time just before the pending write was sent.
+        expires: Time at which the held lease expires; 0 if it is not held.
+        acquired: Time at which the lease was acquired.
+        needs_read: Whether the row must be read before the next write.
+        not_before: Earliest time at which the lease may be acquired.
+        min_fence: Lower bound for fencing numbers: larger numbers cannot
+            have been issued before the last store rollback. 0 if there was
+            no rollback.
+        in_flight: Number of in-flight calls made under the lease.
+        last_effect: Latest time at which work of this process may have taken
+            or may take effect.
+        started: Time at which this process started. Calls of an earlier
+            process on this host may still take effect after it.
     """
 
     holder: str
@@ -135,28 +143,32 @@
 
 
 def is_held(lease: Lease, now: float) -> bool:
-    """Tell whether this process holds the lease."""
+    """Return whether this process holds the lease."""
     return now < lease.expires - lease.policy.margin
 
 
 def may_work(lease: Lease, now: float) -> bool:
-    """Tell whether new work may begin: it is held and not to be released."""
+    """Return whether new work may start.
+
+    The lease must be held and not about to be released.
+    """
     return lease.wanted and is_held(lease, now)
 
 
 def begin_call(lease: Lease) -> Lease:
-    """Return the lease with one more call under way."""
+    """Return the lease with one more in-flight call."""
     return lease._replace(in_flight=lease.in_flight + 1)
 
 
 def end_call(lease: Lease, sent: float, answered: bool, now: float) -> Lease:
-    """Return the lease after a call.
+    """Return the lease after an in-flight call ended.
 
     Args:
-        lease: The lease by which it was made.
-        sent: Own time at which the call began.
-        answered: Whether its effect is known; else it may still come.
-        now: Own time.
+        lease: The lease under which the call was made.
+        sent: Local time at which the call started.
+        answered: Whether the outcome is known. An unanswered call may still
+            take effect.
+        now: Local time, in seconds.
     """
     effect = now if answered else max(now, sent + lease.policy.order)
     return lease._replace(
@@ -166,24 +178,24 @@
 
 
 def get_fence(lease: Lease) -> int:
-    """Return the fencing number of the lease as last seen."""
+    """Return the fencing number in the last known row, or 0."""
     return lease.row.fence if lease.row else 0
 
 
 def may_order(lease: Lease, now: float, checks_fence: bool) -> bool:
-    """Tell whether an order may be sent to a runner at this very moment.
+    """Return whether an order may be sent to a runner at ``now``.
 
-    A runner that ignores the fencing number takes any order, so a late one
-    of an earlier holder would undo what the new holder ordered. Two rules
-    keep their orders apart: each holder sends only what takes effect while
-    it still holds the lease, and a new holder first waits for the longest
-    order to be over, which is also safe when the earlier one did not know
-    how long its order took.
+    A runner that ignores fencing numbers accepts any order, so a late order
+    of the previous holder would undo an order of the new one. Two rules
+    prevent this: a holder sends only orders that take effect before its
+    lease expires, and a new holder first waits for the maximum duration of
+    an order. The wait is needed even so, because the previous holder may
+    not have known how long its order would take.
 
     Args:
-        lease: The lease under which the order is given.
-        now: Own time.
-        checks_fence: Whether the runner refuses old fencing numbers.
+        lease: The lease under which the order is sent.
+        now: Local time, in seconds.
+        checks_fence: Whether the runner rejects old fencing numbers.
     """
     if checks_fence:
         return may_work(lease, now)
@@ -192,10 +204,10 @@
 
 
 def classify_gain(before: Lease) -> GainReason:
-    """Return how a lease was free that was just taken.
+    """Return why a lease that was just acquired had been free.
 
     Args:
-        before: The lease as it was seen before that.
+        before: The lease state before the acquisition.
     """
     if before.row is None:
         return "new"
@@ -205,22 +217,23 @@
 
 
 def classify_loss(lease: Lease) -> LossReason:
-    """Return why a lease that was held just now no longer is."""
+    """Return why this process has just lost the lease."""
     if not lease.wanted:
         return "released"
     return "lapsed" if _is_own(lease) else "taken"
 
 
 def handle_store_rollback(lease: Lease, era: int, now: float) -> Lease:
-    """Return the lease after the store came back from an older copy.
+    """Return the lease after the store was restored from an older snapshot.
 
-    A holder whose lease the store no longer has goes on to the end of it,
-    and its fencing number would be given out again.
+    A holder whose row was lost in the rollback keeps working until its lease
+    expires, and without a lower bound its fencing number would be issued
+    again.
 
     Args:
-        lease: The lease as last seen.
-        era: Number of such returns.
-        now: Own time.
+        lease: The last known lease state.
+        era: Number of rollbacks of the store so far.
+        now: Local time, in seconds.
     """
     return lease._replace(
         needs_read=True,
@@ -231,23 +244,23 @@
 
 
 def choose_action(lease: Lease, now: float) -> tuple[Lease, Action]:
-    """Return what to do next.
+    """Return the updated lease and the next action.
 
     Args:
-        lease: The lease as last seen.
-        now: Own time, in seconds.
+        lease: The last known lease state.
+        now: Local time, in seconds.
     """
     if lease.needs_read:
         return lease, Read()
     if is_held(lease, now):
-        return _keep(lease, now)
+        return _choose_holder_action(lease, now)
     if not lease.wanted:
         return lease, Pause(lease.policy.poll)
-    free = _find_free(lease)
-    if lease.in_flight and not _is_alone(lease):
+    free = _find_acquire_time(lease)
+    if lease.in_flight and not _is_last_worker(lease):
         return lease._replace(needs_read=True), Pause(lease.policy.poll)
     if now < free:
-        # Looking at the row again shows a renewal, which starts a new wait.
+        # Read again after the pause: a renewal restarts the wait.
         pause = min(free - now, lease.policy.poll)
         return lease._replace(needs_read=True), Pause(pause)
     row = LeaseRow(
@@ -257,21 +270,21 @@
         lease.policy.duration,
         tuple(name for name in _list_holders(lease) if name != lease.holder),
     )
-    return _send(lease, row, now)
+    return _write_row(lease, row, now)
 
 
-def _keep(lease: Lease, now: float) -> tuple[Lease, Action]:
+def _choose_holder_action(lease: Lease, now: float) -> tuple[Lease, Action]:
     row = lease.row
     assert row is not None
     if not lease.wanted:
         if lease.in_flight:
             return lease, Pause(lease.policy.poll)
-        # The lease ends here before the row says so.
+        # Stop holding the lease before the release is written.
         lease = lease._replace(
             expires=0.0, last_effect=max(lease.last_effect, now)
         )
         before = (*row.before, row.holder)
-        return _send(lease, row._replace(holder="", before=before), now)
+        return _write_row(lease, row._replace(holder="", before=before), now)
     age = now - (lease.expires - lease.policy.duration)
     if age < lease.policy.renew_after:
         return lease, Pause(lease.policy.renew_after - age)
@@ -280,17 +293,17 @@
         >= lease.acquired + lease.policy.order + lease.policy.handback_delay
     ):
         row = row._replace(before=())
-    return _send(lease, row, now)
+    return _write_row(lease, row, now)
 
 
-def _find_free(lease: Lease) -> float:
-    """Return the own time from which the lease may be taken."""
+def _find_acquire_time(lease: Lease) -> float:
+    """Return the local time from which the lease may be acquired."""
     free = lease.first_seen
     if lease.row is not None and lease.row.holder:
-        # Our own row after we lost track of it counts as anybody's: an order
-        # given under its fencing number may still be under way.
+        # This also applies to a row of this process that it no longer holds:
+        # an order sent under that fencing number may still be in flight.
         free += lease.row.duration
-    if not _is_alone(lease):
+    if not _is_last_worker(lease):
         free = max(free, lease.last_effect + lease.policy.handback_delay)
     if lease.holder in _list_holders(lease)[:-1]:
         late = lease.started + lease.policy.order
@@ -299,7 +312,7 @@
 
 
 def _list_holders(lease: Lease) -> tuple[str, ...]:
-    """Return who may have worked lately by the row, the last one last."""
+    """Return the hosts that may have worked recently, latest last."""
     row = lease.row
     if row is None:
         return ()
@@ -307,11 +320,12 @@
 
 
 def _choose_fence(lease: Lease) -> int:
-    """Return a fencing number that nobody has had.
+    """Return a fencing number that has not been issued before.
 
-    After a return of the store the row may be one that a process wrote
-    without knowing of the return, over a row with a higher number. Versions
-    of the row only rise within an era, whoever writes it.
+    After a store rollback, a process unaware of the rollback may have
+    overwritten a row that had a higher fencing number. The number therefore
+    also exceeds the row version, which only grows within an era, whichever
+    process writes the row.
     """
     if not lease.min_fence:
         return get_fence(lease) + 1
@@ -319,79 +333,83 @@
 
 
 def _is_own(lease: Lease) -> bool:
-    """Tell whether nobody else has taken the lease since this process."""
+    """Return whether this process was the last to acquire the lease."""
     return lease.row is not None and lease.row.nonce == lease.nonce
 
 
-def _is_alone(lease: Lease) -> bool:
-    """Tell whether no other host can have worked since this process.
+def _is_last_worker(lease: Lease) -> bool:
+    """Return whether no other host can have worked since this process.
 
-    A store that came back from an older copy may have lost another's row.
+    A store rollback may have lost the row of another host.
     """
     if lease.row is None:
         return lease.min_fence == 0
     return _is_own(lease) and lease.row.fence > lease.min_fence
 
 
-def _send(lease: Lease, row: LeaseRow, now: float) -> tuple[Lease, Action]:
+def _write_row(
+    lease: Lease, row: LeaseRow, now: float
+) -> tuple[Lease, Action]:
     return lease._replace(write_sent=now), Put(lease.version, row)
 
 
 def apply_reply(
     lease: Lease, put: Put | None, reply: Reply, now: float
 ) -> Lease:
-    """Return the lease after the store's reply.
+    """Return the lease after a reply of the store.
 
     Args:
-        lease: The lease as it was when the call was made.
-        put: What was written; None for a read.
-        reply: What came back.
-        now: Own time, in seconds.
+        lease: The lease state when the request was sent.
+        put: The write; None for a read.
+        reply: The reply of the store.
+        now: Local time, in seconds.
     """
     match reply:
         case Stored(version):
             assert put is not None
-            return _store(lease, put, version, now)
+            return _apply_write(lease, put, version, now)
         case CurrentRow(version, row):
-            return _see(lease, version, row, now)
+            return _apply_row(lease, version, row, now)
         case NoReply():
-            # The write may have taken effect. What is held ends when it
-            # would have ended without it, and a read shows what is there.
+            # The write may have taken effect. A held lease keeps its expiry
+            # time, and a read shows the current row.
             return lease._replace(needs_read=True)
 
 
-def _store(lease: Lease, put: Put, version: int, now: float) -> Lease:
+def _apply_write(lease: Lease, put: Put, version: int, now: float) -> Lease:
     held = put.row.holder == lease.holder
     renewed = held and _is_own(lease) and put.row.fence == get_fence(lease)
     if held and not renewed and put.row.fence <= lease.min_fence:
-        # Written before the era was known: another holder may have had it.
+        # The write was prepared before the rollback was known, so another
+        # holder may already have had this fencing number.
         return lease._replace(needs_read=True)
     return lease._replace(
         version=version,
         row=put.row,
         first_seen=now,
-        # Counted from before the write was sent: others can only have seen
-        # it later. Counted from its reply, a slow store would let this end
-        # after another one's wait.
+        # Measured from before the write was sent, as contenders can only
+        # see the row later. Measured from the reply of a slow store, the
+        # lease could expire after a contender's wait.
         expires=lease.write_sent + lease.policy.duration if held else 0.0,
         acquired=lease.acquired if renewed else now,
         needs_read=False,
     )
 
 
-def _see(
+def _apply_row(
     lease: Lease, version: int, row: LeaseRow | None, now: float
 ) -> Lease:
     if version == lease.version and lease.row == row:
         return lease._replace(needs_read=False)
-    ours = row is not None and row.nonce == lease.nonce
-    kept = ours and lease.expires > 0 and get_fence(lease) == _fence(row)
+    is_own = row is not None and row.nonce == lease.nonce
+    kept = is_own and lease.expires > 0 and get_fence(lease) == _fence(row)
     end = min(now, lease.expires - lease.policy.margin)
     return lease._replace(
         version=version,
         row=row,
         first_seen=now,
-        # A renewal with a lost reply: still ours, until the earlier end.
+        # The reply to a renewal was lost: this process still holds the lease
+        # until the earlier expiry time.
         expires=lease.expires if kept else 0.0,
         needs_read=False,
         last_effect=max(lease.last_effect, end)
--- a/lagoonpost/systems/ledger.py
+++ b/lagoonpost/systems/ledger.py
@@ -1,9 +1,9 @@
-"""The booking ledger's decisions: how one booking runs at most once.
+"""State machine of the booking ledger: each booking runs at most once.
 
-One attempt is one request at one gateway. It claims its key in the table
-service before it dispatches, and only the attempt that wrote the claim ever
-dispatches. :func:`begin` and :func:`step` take what happened and give what to
-do next; the driver carries that out and knows no rules of its own.
+An attempt is one request at one gateway. It claims its idempotency key in the
+table service before it dispatches, and only the attempt that wrote the claim
+may dispatch. :func:`begin` and :func:`step` turn events into actions; the
+driver performs the actions and contains no decisions.
 """
 
 from collections.abc import Callable
@@ -41,16 +41,17 @@
 
 
 class LedgerPolicy(NamedTuple):
-    """Times of the ledger, all in seconds.
+    """Ledger timing, in seconds.
 
     Attributes:
-        dispatch: Longest time from the claim's start to its dispatch. Two
-            store timeouts fit in, so that one lost reply can be settled.
-        settle: How long to go on trying to record or void in the
-            background, through an outage of the store.
-        retention: How long a key is remembered. It must be longer than a
-            caller goes on retrying.
-        skew: Largest difference between the wall clocks of two hosts.
+        dispatch_timeout: Maximum time from the start of the claim to the
+            dispatch. It covers two store timeouts, so that a claim with one
+            lost reply can be resolved.
+        write_timeout: How long to retry recording or voiding an entry in
+            the background during a store outage.
+        retention: How long a key is remembered. It must exceed the time
+            during which callers retry.
+        clock_skew: Maximum difference between the wall clocks of two hosts.
     """
 
     dispatch_timeout: float = 5.0
@@ -64,18 +65,18 @@
 
 
 class Attempt(NamedTuple):
-    """One request at one gateway on its way through the ledger.
+    """State of one request at one gateway.
 
     Attributes:
-        claim: The entry that this attempt writes, or has written.
-        started: Monotonic time at which the claim began.
-        policy: The ledger's times.
-        phase: What it waits for.
-        version: Version of the row it wants to replace.
-        unsettled: Whether a claim was sent whose fate is not known.
-        tries: Writes without a reply in this phase.
-        refusal: What to answer once the claim is void.
-        answered: Whether the caller has its answer.
+        claim: The ledger entry that this attempt writes or has written.
+        started: Monotonic time at which the claim started, in seconds.
+        policy: Ledger timing.
+        phase: The step whose result the attempt is waiting for.
+        version: Row version that the next write expects.
+        claim_uncertain: Whether a claim was sent whose outcome is unknown.
+        unanswered_writes: Number of writes without a reply in this phase.
+        refusal: Answer for the caller once the claim is void.
+        answered: Whether the caller has received an answer.
     """
 
     claim: LedgerEntry
@@ -100,20 +101,20 @@
     timeout: float,
     policy: LedgerPolicy,
 ) -> LedgerEntry:
-    """Return the entry that claims a key.
+    """Return the ledger entry that claims a key.
 
     Args:
-        nonce: Unique to this attempt.
+        nonce: Unique identifier of this attempt.
         digest: Digest of the request.
         gateway: Name of the gateway.
         wall: Wall clock time, in seconds.
-        timeout: Seconds the runner has for its answer.
-        policy: The ledger's times.
+        timeout: Runner timeout, in seconds.
+        policy: Ledger timing.
     """
     until = wall + policy.dispatch_timeout + timeout
-    # Expiry is reckoned from the moment at which the writer can no longer
-    # dispatch. Were the row deleted earlier, another gateway could claim the
-    # key anew while a writer that was frozen still dispatches.
+    # Retention starts when the writer can no longer dispatch. If the row
+    # were deleted earlier, another gateway could claim the key again while
+    # the writer, after a process pause, still dispatches.
     expires = until + policy.retention + policy.clock_skew
     return LedgerEntry("claimed", nonce, digest, gateway, wall, until, expires)
 
@@ -122,31 +123,34 @@
     """Start an attempt.
 
     Args:
-        claim: From :func:`make_claim`.
+        claim: Entry from :func:`make_claim`.
         now: Monotonic time, in seconds.
-        policy: The ledger's times.
+        policy: Ledger timing.
+
+    Returns:
+        The new attempt and the write of its claim.
     """
     return Attempt(claim, now, policy), [Put(0, claim)]
 
 
 def may_dispatch(attempt: Attempt, now: float) -> bool:
-    """Tell whether the dispatch may still go out.
+    """Return whether the booking may still be dispatched.
 
-    A gateway that is frozen between its claim and the dispatch and thawed
-    long after would run a booking that its caller has given up and that
-    may have been taken under another key, or, once the row has expired,
-    even under the same. The time since the claim began, on a monotonic
-    clock and checked right before the bytes leave, shows the pause.
+    A gateway that is suspended for long between claim and dispatch would run
+    a booking that its caller has abandoned and may have repeated under
+    another key or, once the row has expired, under the same key. The pause
+    shows in the monotonic time since the start of the claim, which is
+    checked right before the first byte is sent.
     """
     return now - attempt.started <= attempt.policy.dispatch_timeout
 
 
 def step(attempt: Attempt, event: Event, now: float) -> Step:
-    """Return the attempt after ``event`` and what to do next.
+    """Return the attempt after ``event`` and the next actions.
 
     Args:
-        attempt: The attempt before.
-        event: What came of its last action.
+        attempt: The attempt before the event.
+        event: Result of its last action.
         now: Monotonic time, in seconds.
     """
     return _STEPS[attempt.phase](attempt, event, now)
@@ -157,40 +161,40 @@
         case Stored(version):
             return _place(attempt, version)
         case RowConflict(version, entry):
-            return _contend(attempt, version, entry, now)
+            return _handle_conflict(attempt, version, entry, now)
         case NoReply(applied):
-            return _doubt_claim(attempt, applied, now)
+            return _resolve_claim(attempt, applied, now)
     raise _unexpected(attempt, event)
 
 
-def _contend(
+def _handle_conflict(
     attempt: Attempt, version: int, entry: LedgerEntry | None, now: float
 ) -> Step:
-    """Go on by what is in the row that was to be claimed."""
-    # The row has moved on from the version that earlier tries asked for,
-    # so none of them can take effect any more.
+    """Handle a claim that conflicts with the current row."""
+    # The row no longer has the version that earlier writes expected, so
+    # none of them can take effect.
     attempt = attempt._replace(claim_uncertain=False)
     if entry is None or entry.state == "void":
         if not may_dispatch(attempt, now):
             return _answer(attempt, TOO_LATE)
-        # Nobody dispatches a void claim any more, so the key is free.
+        # A void claim is never dispatched, so the key is free.
         attempt = attempt._replace(version=version)
         return attempt, [Put(version, attempt.claim)]
     if entry.nonce == attempt.claim.nonce:
-        # The reply to our own claim was lost and the claim is there: the
-        # nonce tells it from a claim of another gateway for the same key.
+        # The claim of this attempt succeeded and its reply was lost. The
+        # nonce distinguishes it from another gateway's claim for the key.
         return _place(attempt, version)
-    return _answer(attempt, _judge(attempt, entry))
+    return _answer(attempt, _make_key_outcome(attempt, entry))
 
 
-def _judge(attempt: Attempt, entry: LedgerEntry) -> Outcome:
+def _make_key_outcome(attempt: Attempt, entry: LedgerEntry) -> Outcome:
     if entry.digest != attempt.claim.digest:
         return Mismatch()
     return Earlier(entry)
 
 
-def _doubt_claim(attempt: Attempt, applied: bool | None, now: float) -> Step:
-    """Settle a claim without a reply, by claiming again or voiding."""
+def _resolve_claim(attempt: Attempt, applied: bool | None, now: float) -> Step:
+    """Resolve a claim without a reply by writing it again or voiding it."""
     unsettled = attempt.claim_uncertain or applied is None
     attempt = attempt._replace(
         claim_uncertain=unsettled,
@@ -198,22 +202,22 @@
     )
     if not unsettled:
         return _answer(attempt, STORE_DOWN)
-    # The write may have taken effect with its reply lost. Dispatching would
-    # be wrong if another gateway has the key, and refusing would leave our
-    # row behind. The same write again settles it: it either takes effect
-    # or shows the row, and the nonce in it says whose it is.
+    # The write may have taken effect with its reply lost. Dispatching is
+    # unsafe if another gateway holds the key, and refusing could leave the
+    # claim behind. Repeating the write resolves this: either it succeeds or
+    # it returns the row, whose nonce identifies the owner.
     again = applied is None and attempt.unanswered_writes < MAX_CLAIM_WRITES
     if again and may_dispatch(attempt, now):
         return attempt, [Put(attempt.version, attempt.claim)]
-    return _give_up(attempt, now)
+    return _void_in_background(attempt, now)
 
 
-def _give_up(attempt: Attempt, now: float) -> Step:
-    """Tell the caller at once; void the claim in the background."""
+def _void_in_background(attempt: Attempt, now: float) -> Step:
+    """Answer the caller at once and void the claim in the background."""
     attempt = attempt._replace(
         phase="voiding", answered=True, unanswered_writes=0
     )
-    attempt, retry = _retry(attempt, _voided(attempt), now)
+    attempt, retry = _retry(attempt, _make_void_entry(attempt), now)
     return attempt, [Unknown("store_down"), *retry]
 
 
@@ -243,7 +247,7 @@
             return _void(attempt, TOO_LATE)
         case Answered(answer):
             entry = attempt.claim._replace(
-                state="recorded", answer=_bound(answer)
+                state="recorded", answer=_limit_body(answer)
             )
             return _record(attempt, entry, Ran(answer))
         case Lost(reason):
@@ -252,14 +256,14 @@
     raise _unexpected(attempt, event)
 
 
-def _bound(answer: RecordedAnswer) -> RecordedAnswer:
+def _limit_body(answer: RecordedAnswer) -> RecordedAnswer:
     if len(answer.body) <= MAX_RECORDED_BODY_BYTES:
         return answer
     return answer._replace(body=b"", whole=False)
 
 
 def _record(attempt: Attempt, entry: LedgerEntry, outcome: Outcome) -> Step:
-    """Answer the caller at once and write the result down."""
+    """Answer the caller at once and record the result in the ledger."""
     attempt = attempt._replace(
         phase="recording", claim=entry, answered=True, unanswered_writes=0
     )
@@ -271,8 +275,8 @@
         case Stored():
             return attempt, []
         case RowConflict(version, entry):
-            ours = entry is not None and entry.nonce == attempt.claim.nonce
-            if not ours or entry == attempt.claim:
+            is_own = entry is not None and entry.nonce == attempt.claim.nonce
+            if not is_own or entry == attempt.claim:
                 return attempt, []
             attempt = attempt._replace(version=version)
             return _retry(attempt, attempt.claim, now)
@@ -285,16 +289,16 @@
 
 
 def _void(attempt: Attempt, refusal: Refused) -> Step:
-    """Void the claim before the caller hears that it was not run.
+    """Void the claim before answering that the booking did not run.
 
-    The caller tries again on this answer, maybe at another gateway. A claim
-    left behind would answer that try "unknown", and the booking would be
-    lost although nobody ever dispatches it.
+    The caller retries after this answer, possibly at another gateway. With
+    the claim still in place that retry would be answered "unknown", and the
+    booking would be lost although it was never dispatched.
     """
     attempt = attempt._replace(
         phase="voiding", refusal=refusal, unanswered_writes=0
     )
-    return attempt, [Put(attempt.version, _voided(attempt))]
+    return attempt, [Put(attempt.version, _make_void_entry(attempt))]
 
 
 def _voiding(attempt: Attempt, event: Event, now: float) -> Step:
@@ -305,34 +309,34 @@
             return _void_found(attempt, version, entry, now)
         case NoReply():
             if not attempt.answered:
-                return _give_up(attempt, now)
+                return _void_in_background(attempt, now)
             attempt = attempt._replace(
                 unanswered_writes=attempt.unanswered_writes + 1
             )
-            return _retry(attempt, _voided(attempt), now)
+            return _retry(attempt, _make_void_entry(attempt), now)
     raise _unexpected(attempt, event)
 
 
 def _void_found(
     attempt: Attempt, version: int, entry: LedgerEntry | None, now: float
 ) -> Step:
-    ours = entry is None or entry.nonce == attempt.claim.nonce
+    is_own = entry is None or entry.nonce == attempt.claim.nonce
     if entry is not None and entry.state == "void":
         return _answer(attempt, attempt.refusal)
-    if ours:
+    if is_own:
         attempt = attempt._replace(version=version)
-        return _retry(attempt, _voided(attempt), now)
-    # Another attempt holds the key and may run it: "not run" would be
-    # heard as being about the key, so the caller gets that entry's state.
+        return _retry(attempt, _make_void_entry(attempt), now)
+    # Another attempt holds the key and may run the booking. The caller would
+    # take "not run" to apply to the key, so it gets that entry's state.
     assert entry is not None
-    return _answer(attempt, _judge(attempt, entry))
+    return _answer(attempt, _make_key_outcome(attempt, entry))
 
 
-def _voided(attempt: Attempt) -> LedgerEntry:
-    """Return the void entry.
+def _make_void_entry(attempt: Attempt) -> LedgerEntry:
+    """Return the claim with state ``void``.
 
-    It is written as a row of its own and not as a deletion, since a claim
-    that is still on its way to the store must find the key taken.
+    The row is overwritten rather than deleted, because a claim that is still
+    in flight to the store must find the key taken.
     """
     return attempt.claim._replace(state="void")
 
@@ -344,7 +348,7 @@
 
 
 def _retry(attempt: Attempt, entry: LedgerEntry, now: float) -> Step:
-    """Write again after a while, unless it has been too long."""
+    """Repeat a write with exponential backoff until ``write_timeout``."""
     if now - attempt.started > attempt.policy.write_timeout:
         return _answer(attempt, Unknown("store_down"))
     delay = RETRY_BASE_SECONDS * 2.0 ** min(attempt.unanswered_writes, 10)
@@ -353,7 +357,7 @@
 
 
 def _unexpected(attempt: Attempt, event: Event) -> AssertionError:
-    return AssertionError(f"{event} while {attempt.phase}")
+    return AssertionError(f"unexpected {event} in phase {attempt.phase}")
 
 
 _STEPS: dict[Phase, Callable[[Attempt, Event, float], Step]] = {
@@ -368,5 +372,10 @@
 def find_expired(
     entries: dict[str, LedgerEntry], wall: float
 ) -> tuple[str, ...]:
-    """Return the keys of entries that may be deleted at time ``wall``."""
+    """Return the keys of entries that have expired.
+
+    Args:
+        entries: Ledger entries by key.
+        wall: Wall clock time, in seconds.
+    """
     return tuple(key for key, entry in entries.items() if entry.expires < wall)
--- a/lagoonpost/systems/membership.py
+++ b/lagoonpost/systems/membership.py
@@ -1,11 +1,11 @@
-"""Chooses whom a member talks to, and judges members that do not answer.
-
-Pattern of load: membership traffic grows with the members times what each
-of them sends, and comes in bursts when a rack or failure domain is lost.
-With a full mesh each member holds and probes all others, so that at 320
-members probes alone pass the 3 KB a second that a daemon may spend. Here
-each member has ``RINGS`` neighbours, whatever the number of members, so
-its connections and probes stay the same as the system grows.
+"""Gossip topology and member state transitions.
+
+Load pattern: membership traffic grows with the number of members and the
+messages per member, and comes in bursts when a rack or failure domain is
+lost. In a full mesh each member connects to and probes all others; at 320
+members the probes alone exceed the budget of 3 KB per second and daemon.
+Here each member has ``RINGS`` neighbours regardless of the number of members,
+so its connections and probes stay constant as the system grows.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -14,34 +14,38 @@
 from lagoonpost.tables.digest import hash_text
 from lagoonpost.tables.peer import Member
 
-# Successors on independent rings form a random graph of out-degree 3. With
-# a quarter of the members lost at once, one in 64 has lost all three; it is
-# still reached, as it moves on to its next successors on the first failure.
+# Successors on independent rings form a random graph of out-degree 3. When
+# a quarter of the members fail at once, one member in 64 loses all three
+# neighbours. It stays connected, because it replaces a neighbour with the
+# next successor on the first failed call.
 RINGS = 3
-# Two regions are joined by few members of each, so that the traffic between
-# regions does not grow with them. With one bridge in each failure domain
-# first, losing a domain leaves the regions joined.
+# Only a few members of each region link to other regions, so that traffic
+# between regions does not grow with the number of members. Bridges are
+# spread over failure domains, so that losing one domain does not disconnect
+# the regions.
 BRIDGES_PER_REGION = 4
 LINKS_PER_BRIDGE = 2
-# A member that did not answer us is passed over for this long. Longer than
-# suspicion, so that it is dead for all before we would try it again.
+# How long a member that did not answer is not chosen as a neighbour. Longer
+# than the suspicion timeout, so that a failed member is marked dead
+# everywhere before it would be tried again.
 AVOID_SECONDS = 8.0
-# Probes fail on a direct and INDIRECT other ways before a member becomes
-# suspect; SUSPICION_SECONDS is what it then has to refute. News takes well
-# under a second to all (bench/gossip.py), so that 4 s leave room for a
-# member that is slow; a false verdict costs only a refutation.
+# A member becomes suspect after a direct probe and INDIRECT_PROBES indirect
+# probes have failed. It then has SUSPICION_SECONDS to refute the suspicion.
+# A row reaches all members in well under a second (bench/gossip.py), so 4 s
+# leave time for a slow member; a wrong verdict costs only a refutation.
 INDIRECT_PROBES = 3
 PROBE_SECONDS = 1.0
 SUSPICION_SECONDS = 4.0
 
 
 class Topology(NamedTuple):
-    """Members in the orders from which neighbours are chosen.
+    """Member orders from which neighbours are chosen.
 
     Attributes:
-        rings: Names of the own region's serving members, once per ring.
-        bridges: Names of the serving members of each region, those that
-            are to join it to other regions first.
+        rings: Names of the local region's serving members, in the order of
+            each ring.
+        bridges: Names of the serving members of each region, preferred
+            bridges first.
     """
 
     rings: tuple[tuple[str, ...], ...]
@@ -49,7 +53,12 @@
 
 
 def build_topology(members: Iterable[Member], region: str) -> Topology:
-    """Arrange the serving members as seen from a region."""
+    """Return the topology of the serving members.
+
+    Args:
+        members: Rows of all known members.
+        region: Region whose members form the rings.
+    """
     serving = [row for row in members if row.serving]
     local = [row.name for row in serving if row.region == region]
     rings = tuple(
@@ -78,12 +87,12 @@
 def choose_neighbours(
     topology: Topology, name: str, avoid: Collection[str] = ()
 ) -> tuple[str, ...]:
-    """Return the next member on each ring after ``name``, each once.
+    """Return the successor of ``name`` on each ring, without duplicates.
 
     Args:
-        topology: The arranged members.
-        name: Whose neighbours are wanted.
-        avoid: Names to pass over.
+        topology: Topology of the region.
+        name: Name of the member.
+        avoid: Names to skip.
     """
     chosen: dict[str, None] = {}
     for ring in topology.rings:
@@ -104,11 +113,16 @@
 def choose_bridge_links(
     topology: Topology, me: Member, avoid: Collection[str] = ()
 ) -> tuple[str, ...]:
-    """Return the members of other regions that ``me`` is to talk to.
+    """Return the members of other regions that ``me`` links to.
+
+    Only the first ``BRIDGES_PER_REGION`` members of a region link to other
+    regions. Bridge number i starts at the i-th bridge of the remote region,
+    so that links are spread over the remote bridges.
 
-    Only the first ``BRIDGES`` of a region talk to other regions. Bridge
-    number i begins at the i-th bridge of the other side, so that links
-    don't all end at the same member.
+    Args:
+        topology: Topology of the region.
+        me: Row of the member.
+        avoid: Names to skip.
     """
     own = topology.bridges.get(me.region, ())[:BRIDGES_PER_REGION]
     if me.name not in own:
@@ -124,27 +138,33 @@
 
 
 def mark_suspect(row: Member, now: float) -> Member:
-    """Return the row of a member that does not answer."""
+    """Return the row with state ``suspect``, for an unresponsive member."""
     return row._replace(state="suspect", changed=now)
 
 
 def mark_dead(row: Member) -> Member:
-    """Return the row of a suspect that has not refuted in time.
+    """Return the row with state ``dead``, after an unrefuted suspicion.
 
-    The time of the verdict follows from the suspicion alone, so all who
-    reach it hold the same row, and hearing it from another adds no news.
+    The time of the change depends only on the time of the suspicion. All
+    members that reach the verdict thus create the same row, and receiving it
+    from a peer changes nothing.
     """
     changed = row.changed + SUSPICION_SECONDS
     return row._replace(state="dead", changed=changed)
 
 
 def refute(me: Member, claim: Member, now: float) -> Member | None:
-    """Return my next row if a claim about me is wrong, else None.
+    """Return a row that refutes a wrong claim about this member, or None.
+
+    A member that was suspended or partitioned is marked dead and learns this
+    in its first sync. The same happens to a member that restarts under its
+    old name with a clock that is behind. Only a larger incarnation overrides
+    the claim, so the new one exceeds that of the claim and all previous ones.
 
-    A member that was frozen or cut off is held dead and learns so with its
-    first exchange; the same holds for one that restarted under its name
-    while its clock was behind. Only a larger incarnation is believed, so
-    the next one is larger than the claim's and than any used before.
+    Args:
+        me: The current row of this member.
+        claim: A row about this member, received from a peer.
+        now: Time in seconds since the epoch.
     """
     if claim.incarnation < me.incarnation or me.state == "left":
         return None
@@ -157,6 +177,7 @@
 def first_incarnation(now: float) -> int:
     """Return the incarnation of a member that starts at ``now``.
 
-    It grows over restarts without anything kept on a disk.
+    It is the time in milliseconds, which increases over restarts without
+    persistent state.
     """
     return int(now * 1000)
--- a/lagoonpost/systems/order.py
+++ b/lagoonpost/systems/order.py
@@ -1,16 +1,16 @@
-"""Which runners are due an order: the whole wanted state, again and again.
-
-Pattern of load: a controller's shard of thousands of runners, some of which
-lose an order, restart, or take a late order of an earlier lease holder.
-Orders sent once leave such a runner wrong for good; all orders sent on each
-tick are a flood.
-
-A runner is ordered when what it last confirmed is not what is wanted under
-this fencing number, and otherwise every ``REPEAT`` seconds. Thresholds: a
-runner that a late order has set back is right again within ``REPEAT``, and
-2,800 runners cost 94 small calls a second over all controllers. A runner that
-does not confirm is tried again after ``RETRY`` seconds, longer than the
-timeout of an order, so that it never has two under way.
+"""Selection of runners to send orders to; orders state the full desired state.
+
+Load pattern: the shard of a controller has thousands of runners, some of
+which lose an order, restart, or execute a late order of a previous lease
+holder. If orders were sent only once, such a runner would stay in a wrong
+state; sending all orders on every tick would overload the system.
+
+A runner receives an order when the last one sent differs from its desired
+state or fencing number, and otherwise every ``REPEAT_SECONDS``. Thresholds: a
+runner reverted by a late order is corrected within ``REPEAT_SECONDS``, and
+2,800 runners cost 94 small calls per second over all controllers. An
+unconfirmed order is retried after ``RETRY_SECONDS``, longer than the order
+timeout, so that a runner never has two orders in flight.
 """
 
 from collections.abc import Mapping
@@ -21,20 +21,20 @@
 
 
 class DesiredState(NamedTuple):
-    """What a runner is to be: its versions and its role."""
+    """Desired versions and role of a runner."""
 
     versions: tuple[str, ...]
     role: str = "serving"
 
 
 class SentOrder(NamedTuple):
-    """The last order given to a runner.
+    """The last order sent to a runner.
 
     Attributes:
-        wanted: The state that it asked for.
-        fence: Fencing number it carried.
-        at: Time of the order, in seconds.
-        confirmed: Whether the runner took it.
+        desired: Desired state in the order.
+        fence: Fencing number of the order.
+        sent_at: Local time of the order, in seconds.
+        confirmed: Whether the runner confirmed the order.
     """
 
     desired: DesiredState
@@ -49,13 +49,13 @@
     fence: int,
     now: float,
 ) -> tuple[str, ...]:
-    """Return the names of the runners to order now.
+    """Return the names of the runners that are due an order.
 
     Args:
-        wanted: Wanted state by name of the runner.
-        given: Last orders by name of the runner.
-        fence: Fencing number of the lease that is held.
-        now: Time in seconds.
+        desired: Desired state by runner name.
+        sent: Last order sent, by runner name.
+        fence: Fencing number of the lease.
+        now: Local time, in seconds.
     """
     return tuple(
         name
@@ -65,10 +65,10 @@
 
 
 def _is_due(
-    wanted: DesiredState, given: SentOrder | None, fence: int, now: float
+    desired: DesiredState, last: SentOrder | None, fence: int, now: float
 ) -> bool:
-    if given is None or (given.desired, given.fence) != (wanted, fence):
+    if last is None or (last.desired, last.fence) != (desired, fence):
         return True
-    return now - given.sent_at >= (
-        REPEAT_SECONDS if given.confirmed else RETRY_SECONDS
+    return now - last.sent_at >= (
+        REPEAT_SECONDS if last.confirmed else RETRY_SECONDS
     )
--- a/lagoonpost/systems/packet.py
+++ b/lagoonpost/systems/packet.py
@@ -1,4 +1,4 @@
-"""What members send each other, and the events and actions of gossip."""
+"""Messages, events and actions of the gossip protocol."""
 
 from typing import Literal, NamedTuple
 
@@ -10,15 +10,15 @@
     """One gossip request.
 
     Attributes:
-        sender: Name of the member that sends it.
-        members: Rows the receiver may not have.
-        facts: Facts the receiver may not have.
-        root: Digest of the sender's tables, or 0 for none.
-        buckets: Digests of the buckets of the sender's tables, or empty;
-            the answer brings the rows of those that differ.
-        probe: Name of a member the receiver is asked to probe, or empty.
-        reached: Name of a member that the sender probed for the receiver
-            and that answered, or empty.
+        sender: Name of the sending member.
+        members: Member rows that the receiver may not have.
+        facts: Facts that the receiver may not have.
+        root: Digest of the sender's tables; 0 if not sent.
+        buckets: Digests of the buckets of the sender's tables, or empty.
+            The reply contains the rows of all buckets that differ.
+        probe: Name of a member for the receiver to probe, or empty.
+        reached: Name of a member that answered a probe the sender made on
+            behalf of the receiver, or empty.
     """
 
     sender: str
@@ -31,15 +31,16 @@
 
 
 class Reply(NamedTuple):
-    """The answer to a packet.
+    """Reply to a gossip request.
 
     Attributes:
-        sender: Name of the member that answers.
-        current: Whether its facts are current.
-        differs: Whether its digest is another than the packet's root.
-        members: Rows of the buckets that differ.
-        facts: Facts of the buckets that differ.
-        wanted: Numbers of the buckets that differ.
+        sender: Name of the replying member.
+        current: Whether the facts of the replying member are up to date.
+        differs: Whether its digest differs from ``root`` of the request.
+        members: Member rows in the buckets that differ.
+        facts: Facts in the buckets that differ.
+        wanted: Indexes of the buckets that differ, whose rows the replying
+            member requests.
     """
 
     sender: str
@@ -54,14 +55,14 @@
 
 
 class Call(NamedTuple):
-    """Send a packet and report the outcome as Answered or Failed.
+    """Send a packet and report the result as Answered or Failed.
 
     Attributes:
-        target: Name of the receiver, or empty for a seed not yet known.
-        address: Its address, ``IP:PORT``.
-        packet: What to send.
-        purpose: What the outcome is for.
-        started: Time at which the call was made.
+        target: Name of the receiver; empty for a seed of unknown name.
+        address: Address of the receiver, ``IP:PORT``.
+        packet: The packet to send.
+        purpose: Why the call is made; selects how its result is handled.
+        started: Time of the call, in seconds since the epoch.
         behalf: For ``relay``: the member that asked for the probe.
     """
 
@@ -74,32 +75,32 @@
 
 
 class ChangedRows(NamedTuple):
-    """Rows that are new in the own tables, also own ones."""
+    """Rows that changed in the local tables, including this member's own."""
 
     members: tuple[Member, ...]
     facts: tuple[Fact, ...]
 
 
 class Tick(NamedTuple):
-    """A second passed."""
+    """The periodic timer fired, once per second."""
 
 
 class Flush(NamedTuple):
-    """News was gathered for a moment and is now to be pushed."""
+    """The batching delay is over; pending rows are to be pushed."""
 
 
 class Publish(NamedTuple):
-    """A fact came up in this process."""
+    """This process publishes a fact."""
 
     fact: Fact
 
 
 class Leave(NamedTuple):
-    """This process is about to end."""
+    """This process is about to shut down."""
 
 
 class Received(NamedTuple):
-    """A packet came; exactly one Reply is among the actions."""
+    """A packet was received; the actions contain exactly one Reply."""
 
     packet: Packet
 
@@ -112,7 +113,7 @@
 
 
 class Failed(NamedTuple):
-    """A call was refused, cut or not answered in time."""
+    """A call was refused, was interrupted or timed out."""
 
     call: Call
 
--- a/lagoonpost/systems/reachability.py
+++ b/lagoonpost/systems/reachability.py
@@ -1,10 +1,10 @@
-"""Which part of all gateways one of them hears.
+"""Share of all gateways that one gateway can reach.
 
-Pattern of load: a workspace sends many times its usual while some gateways
-are cut off from the others and still serve callers. Whoever hears only some
-lets through only their part of a quota. A gateway that is cut off is soon
-held dead by the others, and holds them dead: if the dead no longer counted,
-each side would take itself for all there is and let the whole quota through.
+Load pattern: a workspace sends many times its usual load while some gateways
+are partitioned from the others and still serve callers. A gateway that
+receives reports of only some gateways admits only their share of a quota. The
+two sides of a partition soon mark each other dead. If dead gateways were not
+counted, each side would consider itself complete and admit the whole quota.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,34 +12,34 @@
 from lagoonpost.tables.peer import Member
 
 DEAD_MAY_SERVE_SECONDS = 3600.0
-"""How long a gateway that went without leaving may still serve somewhere:
-regions lose each other for an hour now and then. Of 320 hosts two are lost in
-an hour, so that what is kept for them is under a hundredth of a quota."""
+"""How long a gateway marked dead without having left may still serve callers:
+regions are occasionally partitioned for an hour. Of 320 hosts about two fail
+per hour, so less than a hundredth of a quota is reserved for dead hosts."""
 
 
 def find_unreachable(
     members: Iterable[Member], reachable: Collection[str], now: float
 ) -> set[str]:
-    """Return the names of gateways that may serve and are not heard.
+    """Return the names of unreachable gateways that may still serve callers.
 
     Args:
-        members: All known rows, also of those that left or are held dead.
-        heard: Names of the gateways that are heard.
-        now: Seconds since the epoch, by the clock of the rows.
+        members: All known rows, including members that left or are dead.
+        reachable: Names of the reachable gateways.
+        now: Seconds since the epoch, on the clock used in the rows.
     """
     return {
-        each.name
-        for each in members
-        if each.name not in reachable and _may_serve(each, now)
+        member.name
+        for member in members
+        if member.name not in reachable and _may_serve(member, now)
     }
 
 
 def compute_reachable_share(reachable: int, unreachable: int) -> float:
-    """Return the part of all gateways that is heard, above 0 to 1.
+    """Return the reachable share of all gateways, in (0, 1].
 
     Args:
-        heard: Gateways that are heard, the own one included.
-        unheard: Gateways that may serve and are not heard.
+        reachable: Number of reachable gateways, including this one.
+        unreachable: Number of unreachable gateways that may still serve.
     """
     return reachable / (reachable + unreachable)
 
--- a/lagoonpost/systems/subset.py
+++ b/lagoonpost/systems/subset.py
@@ -1,19 +1,20 @@
-"""Which runners a gateway talks to.
+"""Subsetting: the runners that each gateway sends requests to.
 
-Pattern of load: 320 gateways before 2,800 runners. If each talks to all, a
-decision scans all of them, every runner reports to every gateway, and each
-keeps 896,000 connections between them; a fixed slice ties a runner's fate to
-one gateway.
+Load pattern: 320 gateways in front of 2,800 runners. If every gateway used
+all runners, each routing decision would scan all of them, every runner would
+report to every gateway, and there would be 896,000 connections in total. With
+fixed slices, a runner would depend on a single gateway.
 
 Each gateway ranks the runners of each failure domain by rendezvous hashing of
-(gateway, runner) and takes the same number from each, so that a change moves
-only the runners concerned.
-
-Thresholds: with ``n`` runners, ``g`` gateways and ``d`` runners each, a
-runner is unknown to all with probability exp(-d g / n); fewer than one is
-expected unknown when d >= n ln(n) / g. At the target that is 70. Below
-``LEAST`` runners nothing is gained by leaving some out; ``MOST`` bounds a
-decision's time where the number of gateways is not known.
+(gateway, runner) and takes the same number from each domain, so that a change
+affects only the runners concerned.
+
+Thresholds: with ``n`` runners, ``g`` gateways and ``d`` runners per gateway,
+a runner is in no subset with probability exp(-d g / n). The expected number
+of such runners is below one when d >= n ln(n) / g, which is 70 at the target
+size. Up to ``MIN_SUBSET`` runners, a smaller subset brings no benefit;
+``MAX_SUBSET`` limits the time of a decision when the number of gateways is
+unknown.
 """
 
 import math
@@ -29,7 +30,12 @@
 
 
 def subset_size(runners: int, gateways: int) -> int:
-    """Return how many of a service's runners one gateway talks to."""
+    """Return how many of a service's runners one gateway uses.
+
+    Args:
+        runners: Number of runners of the service.
+        gateways: Number of gateways.
+    """
     if runners <= MIN_SUBSET:
         return runners
     covering = math.ceil(runners * math.log(runners) / max(1, gateways))
@@ -37,14 +43,14 @@
 
 
 def rendezvous_score(key: str, name: str) -> int:
-    """Return the rendezvous score of a name for a key."""
+    """Return the rendezvous hash of a name for a key; the highest wins."""
     return xxh3_64_intdigest(f"{key}\0{name}".encode())
 
 
 def choose_subset(
     gateway: str, runners: Iterable[Runner], gateways: int
 ) -> list[Runner]:
-    """Choose the runners that a gateway talks to.
+    """Choose the runners that a gateway sends requests to.
 
     Args:
         gateway: The gateway's name.
@@ -52,7 +58,7 @@
         gateways: Number of gateways, or 1 if unknown.
 
     Returns:
-        Runners, spread evenly over failure domains.
+        The chosen runners, spread evenly over failure domains.
     """
     domains: defaultdict[str, list[Runner]] = defaultdict(list)
     total = 0
--- a/test/lease_model.py
+++ b/test/lease_model.py
@@ -1,4 +1,4 @@
-"""A played world for leases: a store, controllers and runners."""
+"""Simulation of leases: a store, controllers and a runner."""
 
 from typing import NamedTuple
 
@@ -29,18 +29,21 @@
 KEY = "lease/shard"
 POLICY = LeasePolicy(handback_delay=3.2)
 RETURN_SECONDS = 3.0
-"""Time in which the work may not go from one holder to another and back."""
+"""Minimum time before work may return to a previous holder."""
 
 
-class Turns:
-    """Who worked when, in world time; nobody may come back too soon."""
+class HandbackChecker:
+    """Checks that no host resumes work too soon after another one.
+
+    Times are in simulated seconds.
+    """
 
     def __init__(self) -> None:
         self._last = ""
         self._worked: dict[str, float] = {}
 
     def take(self, name: str, now: float) -> None:
-        """Note that a host works, and check when it did so before."""
+        """Record that a host works, and check when it last worked."""
         if name != self._last and name in self._worked:
             assert now - self._worked[name] >= RETURN_SECONDS
         self._last = name
@@ -48,7 +51,14 @@
 
 
 class Order(NamedTuple):
-    """An order that leaves a controller and takes effect later."""
+    """An order to a runner that takes effect some time after it is sent.
+
+    Attributes:
+        holder: Controller that sends the order.
+        fence: Fencing number of the order.
+        leaves: Simulated time at which the order is sent.
+        latest: Simulated time until which it takes effect.
+    """
 
     holder: "Holder"
     fence: int
@@ -57,12 +67,12 @@
 
 
 class Call(NamedTuple):
-    """A call to a platform that refuses old fencing numbers.
+    """A call to a platform that rejects old fencing numbers.
 
     Attributes:
-        holder: Who made it.
-        fence: Its fencing number.
-        sent: World time at which it was sent.
+        holder: Controller that made the call.
+        fence: Fencing number of the call.
+        sent: Simulated time at which the call was sent.
     """
 
     holder: "Holder"
@@ -71,7 +81,7 @@
 
 
 class Holder:
-    """One controller with a clock of its own."""
+    """A controller with its own clock rate and offset."""
 
     def __init__(
         self, number: int, rate: float, policy: LeasePolicy = POLICY
@@ -87,11 +97,11 @@
         self._rate = rate
 
     def clock(self, now: float) -> float:
-        """Return this controller's time at world time ``now``."""
+        """Return this controller's local time at simulated time ``now``."""
         return self._offset + self._rate * now
 
     def restart(self, now: float) -> None:
-        """Begin anew under the same name, as a new process does."""
+        """Reset the state as a new process with the same name."""
         lease = self.lease
         self.lease = Lease(
             lease.holder,
@@ -103,17 +113,17 @@
         self.era = 0
 
     def find_end(self) -> float:
-        """Return the world time at which its lease ends."""
+        """Return the simulated time until which the lease is held."""
         end = self.lease.expires - self.lease.policy.margin
         return (end - self._offset) / self._rate
 
     def is_held(self, now: float) -> bool:
-        """Tell whether this controller may work."""
+        """Return whether this controller holds the lease."""
         return is_held(self.lease, self.clock(now))
 
 
 class World:
-    """The store, the controllers, and a runner that checks no fence."""
+    """The store, the controllers, and a runner that ignores fencing."""
 
     def __init__(
         self, rates: list[float], policy: LeasePolicy = POLICY
@@ -122,18 +132,24 @@
         self.table = Table()
         self.era = 0
         self.fences: dict[int, str] = {}
-        self.holders = [Holder(*each, policy) for each in enumerate(rates)]
+        self.holders = [
+            Holder(*numbered, policy) for numbered in enumerate(rates)
+        ]
         self.late: list[Put] = []
         self.orders: list[Order] = []
         self.applied: list[int] = []
-        self.held = Turns()
-        self.acted = Turns()
+        self.held = HandbackChecker()
+        self.acted = HandbackChecker()
         self.calls: list[Call] = []
         self.lost_calls: dict[Call, float] = {}
         self.newest_fence = 0
 
     def go_on(self, holder: Holder, fault: str = "none") -> None:
-        """Let a controller take its next step: send, effect or reply."""
+        """Run the next step of a controller.
+
+        A call takes three steps: sending it, serving it in the store and
+        handling the reply.
+        """
         if holder.call is None:
             lease, action = choose_action(holder.lease, holder.clock(self.now))
             holder.lease = lease
@@ -151,12 +167,12 @@
             holder.call = holder.reply = None
 
     def go_back(self, transactions: int) -> None:
-        """Let the store come back from an older copy."""
+        """Roll the store back to an older snapshot."""
         self.table.go_back(transactions)
         self.era += 1
 
     def _learn_era(self, holder: Holder) -> None:
-        """Do as the platform's store does with the era of an answer."""
+        """Handle the era of a reply as the platform's store client does."""
         if isinstance(holder.reply, NoReply):
             return
         if holder.reply_era < holder.era:
@@ -201,9 +217,9 @@
         return Stored(self._stamp(row.version))
 
     def order(self, holder: Holder, pause: float) -> None:
-        """Let a controller order the runner, if it may.
+        """Let a controller send an order to the runner, if allowed.
 
-        It may be paused between asking and sending.
+        The controller pauses between checking the lease and sending.
         """
         if may_order(holder.lease, holder.clock(self.now), False):
             leaves = self.now + pause
@@ -212,13 +228,13 @@
             self.orders.append(Order(holder, fence, leaves, latest))
 
     def want(self, holder: Holder, wanted: bool) -> None:
-        """Ask for the lease, or stop the work and ask for its release."""
+        """Request the lease, or stop work and request its release."""
         holder.lease = holder.lease._replace(wanted=wanted)
         if not wanted:
             self.drop_orders(holder)
 
     def drop_orders(self, holder: Holder) -> None:
-        """Let a controller send none of the orders that have not left."""
+        """Drop a controller's orders that have not been sent yet."""
         self.orders = [
             order
             for order in self.orders
@@ -226,7 +242,7 @@
         ]
 
     def acquire(self, holder: Holder) -> None:
-        """Let one controller alone go on until it could have the lease."""
+        """Run one controller alone until the lease could be acquired."""
         for _ in range(8):
             self.go_on(holder)
         row = holder.lease.row
@@ -239,21 +255,21 @@
             self.go_on(holder)
 
     def hand_over(self, holder: Holder, other: Holder) -> None:
-        """Let one controller give the lease away and another take it."""
+        """Let one controller release the lease and another acquire it."""
         self.want(holder, False)
         self.acquire(holder)
         self.acquire(other)
         self.want(holder, True)
 
     def begin_call(self, holder: Holder) -> None:
-        """Let a controller call the platform, if it may."""
+        """Let a controller start a platform call, if allowed."""
         if may_work(holder.lease, holder.clock(self.now)):
             holder.lease = begin_call(holder.lease)
             fence = get_fence(holder.lease)
             self.calls.append(Call(holder, fence, self.now))
 
     def end_call(self, call: Call, answered: bool) -> None:
-        """Let a call take effect with its answer, or be given up."""
+        """End a call: answered and effective, or abandoned."""
         self.calls.remove(call)
         if answered:
             self.take_effect(call)
@@ -268,24 +284,24 @@
         )
 
     def _lose(self, call: Call) -> None:
-        """Let a call take effect at any time up to its latest one."""
+        """Let an abandoned call take effect later, up to the maximum delay."""
         order = call.holder.lease.policy.order
         self.lost_calls[call] = max(self.now, call.sent + order)
 
     def take_effect(self, call: Call) -> None:
-        """Let the platform take a call, or refuse its fencing number."""
+        """Let the platform execute a call or reject its fencing number."""
         self.lost_calls.pop(call, None)
         if call.fence >= self.newest_fence:
             self.newest_fence = call.fence
             self.acted.take(call.holder.lease.holder, self.now)
 
     def restart(self, holder: Holder) -> None:
-        """End a process and begin it anew.
+        """Restart a controller process.
 
-        The platform may still carry out what the ended one had sent.
+        The platform may still execute calls of the previous process.
         """
         self.drop_orders(holder)
-        for call in [each for each in self.calls if each.holder is holder]:
+        for call in [other for other in self.calls if other.holder is holder]:
             self.calls.remove(call)
             self._lose(call)
         holder.restart(self.now)
@@ -296,11 +312,11 @@
         self.applied.append(order.fence)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass; no order takes longer than the longest."""
-        for each in self.holders:
-            if each.is_held(self.now):
-                end = min(self.now + seconds, each.find_end())
-                self.held.take(each.lease.holder, end)
+        """Advance time; overdue orders take effect and lost calls expire."""
+        for holder in self.holders:
+            if holder.is_held(self.now):
+                end = min(self.now + seconds, holder.find_end())
+                self.held.take(holder.lease.holder, end)
         self.now += seconds
         self.lost_calls = {
             call: latest
@@ -311,19 +327,19 @@
             self.apply(order)
 
     def check(self) -> None:
-        """Check that one works at a time and that no order goes back."""
-        held = [each for each in self.holders if each.is_held(self.now)]
+        """Check that holders, fencing numbers and orders never conflict."""
+        held = [holder for holder in self.holders if holder.is_held(self.now)]
         assert len(held) <= 1
-        for each in held:
-            self.held.take(each.lease.holder, self.now)
-            fence = get_fence(each.lease)
-            assert self.fences.setdefault(fence, each.lease.nonce) == (
-                each.lease.nonce
+        for holder in held:
+            self.held.take(holder.lease.holder, self.now)
+            fence = get_fence(holder.lease)
+            assert self.fences.setdefault(fence, holder.lease.nonce) == (
+                holder.lease.nonce
             )
         assert self.applied == sorted(self.applied)
 
     def finish(self) -> None:
-        """With all faults gone, one controller gets the lease and keeps it."""
+        """Check that without further faults one controller holds the lease."""
         for holder in self.holders:
             holder.lease = holder.lease._replace(wanted=True)
         for _ in range(60):
@@ -331,4 +347,4 @@
             for holder in self.holders * 3:
                 self.go_on(holder)
             self.check()
-        assert any(each.is_held(self.now) for each in self.holders)
+        assert any(holder.is_held(self.now) for holder in self.holders)
--- a/test/ledger_model.py
+++ b/test/ledger_model.py
@@ -1,4 +1,4 @@
-"""A played world for the ledger's decisions: store, runner and gateways."""
+"""Simulation of the booking ledger: store, runner and gateways."""
 
 from typing import NamedTuple
 
@@ -40,7 +40,7 @@
 
 
 class Run(NamedTuple):
-    """One run of a booking at the runner."""
+    """One execution of a booking by the runner."""
 
     caller: "Caller"
     key: str
@@ -48,7 +48,7 @@
 
 
 class Caller:
-    """One request at one gateway, with the action that is to be done."""
+    """One request at one gateway, with its pending action."""
 
     def __init__(
         self, number: int, key: str, digest: str, now: float, skew: float
@@ -67,7 +67,7 @@
         self.take(actions)
 
     def take(self, actions: list[Action]) -> None:
-        """Hear an answer at once; keep the action that takes time."""
+        """Record the outcome, and keep the action that takes time."""
         self.action = None
         for action in actions:
             if isinstance(action, Put | ChooseRunner | SendRequest):
@@ -77,13 +77,13 @@
                 self.outcome = action
 
     def step(self, event: Event, now: float) -> None:
-        """Let the decisions go on after ``event``."""
+        """Pass ``event`` to the ledger's state machine."""
         self.attempt, actions = step(self.attempt, event, now)
         self.take(actions)
 
 
 class World:
-    """Everything around the callers, with each fault as a method."""
+    """Environment of the callers: store, runner and injected faults."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -108,7 +108,7 @@
         return RowConflict(row.version, row.value)
 
     def serve_store(self, caller: Caller, put: Put, fault: str) -> None:
-        """Let the store serve ``put``, or fail at some point of it."""
+        """Let the store serve ``put``, or inject a fault."""
         reply: Event = NoReply(None)
         if fault in ("none", "lost_reply"):
             reply = self.write(caller.key, put)
@@ -121,7 +121,7 @@
         caller.step(reply, self.now)
 
     def serve_dispatch(self, caller: Caller, fault: str) -> None:
-        """Let the gateway dispatch and the runner serve, or fail."""
+        """Let the gateway dispatch to the runner, or inject a fault."""
         if (
             not may_dispatch(caller.attempt, self.now)
             or fault == "unreachable"
@@ -139,14 +139,14 @@
         caller.step(Answered(make_run_answer(caller)), self.now)
 
     def choose(self, caller: Caller, fault: str) -> None:
-        """Choose a runner, or none."""
+        """Select a runner, or report that none is available."""
         event: Event = RunnerChosen()
         if fault == "no_runner":
             event = NoRunner(503, "no_runner", 1.0)
         caller.step(event, self.now)
 
     def serve(self, caller: Caller, fault: str = "none") -> None:
-        """Let one thing happen to ``caller``."""
+        """Perform the pending action of ``caller``."""
         match caller.action:
             case Put() as put:
                 self.serve_store(caller, put, fault)
@@ -168,7 +168,7 @@
         return value
 
     def check(self) -> None:
-        """Check what callers are promised."""
+        """Check the guarantees that callers rely on."""
         self._check_runs()
         for caller in self.callers:
             self._check_caller(caller)
@@ -181,8 +181,8 @@
     def _check_runs(self) -> None:
         last: dict[str, float] = {}
         for run in self.runs:
-            # A key may be used anew, but only by a request that came after
-            # the retention of the one that ran.
+            # A key may run again only for a request that arrived after the
+            # retention time of the previous run.
             if run.key in last:
                 assert run.caller.began > last[run.key] + POLICY.retention
             last[run.key] = run.at
@@ -205,7 +205,7 @@
                 assert not ran
 
     def _check_free(self, caller: Caller) -> None:
-        """After ``not_run``, the caller's next try must be able to run."""
+        """Check that the caller's retry can run after ``not_run``."""
         entry = self.find(caller.key)
         if entry is None or self.now > caller.began + POLICY.retention:
             return
@@ -213,7 +213,7 @@
         assert not mine or entry.state == "void"
 
     def finish(self) -> None:
-        """With all faults gone, let everything come to its end."""
+        """Complete all callers without further faults."""
         while any(caller.action is not None for caller in self.callers):
             for caller in self.callers:
                 self.serve(caller)
@@ -223,5 +223,5 @@
 
 
 def make_run_answer(caller: Caller) -> RecordedAnswer:
-    """Return the runner's answer, another one for each caller."""
+    """Return the runner's answer, which differs for each caller."""
     return RecordedAnswer(200, (), b"booked by %d" % caller.number)
--- a/test/peer_network.py
+++ b/test/peer_network.py
@@ -1,4 +1,4 @@
-"""A played network of gossiping members in virtual time, for tests."""
+"""Simulated network of gossip members in virtual time, for tests."""
 
 import heapq
 from collections.abc import Callable, Iterable
@@ -28,7 +28,23 @@
 
 
 class Network:
-    """Members by name; messages may be lost, late, doubled or cut off."""
+    """Gossip members and a network that loses, delays and repeats messages.
+
+    Args:
+        seed: Seed of all random choices.
+        loss: Probability that a message is lost.
+        twice: Probability that a request is delivered twice.
+
+    Attributes:
+        now: Simulated time, in seconds since the epoch.
+        nodes: Gossip state machines by member name.
+        places: Member names by address.
+        frozen: Suspended members, with their pending events.
+        cut: Returns whether the link between two members is broken.
+        known: Time at which a member first received a fact.
+        ranks: Highest rank of a fact at a member.
+        verdicts: Received rows of members that are not alive.
+    """
 
     def __init__(self, seed: int = 1, loss: float = 0.0, twice: float = 0.0):
         self.now = START
@@ -136,7 +152,7 @@
         if self.nodes.get(name) is not node:
             return
         if name in self.frozen:
-            # Like a socket's buffer and the loop's timers, it waits.
+            # The event waits, as in a socket buffer or an event loop timer.
             self.frozen[name].append(lambda: self._awake(name, node, action))
             return
         action()
@@ -187,7 +203,7 @@
     def _delay(self) -> float:
         return self.rng.uniform(0.001, 0.03)
 
-    # What is held
+    # Inspection of the members' tables
 
     def serving(self, name: str) -> set[str]:
         rows = self.nodes[name].view.members.rows.values()
@@ -207,7 +223,7 @@
 
 
 def start_settled(network: Network, size: int) -> None:
-    """Start two regions of four failure domains that know each other."""
+    """Start two regions of four failure domains with complete tables."""
     for number in range(size):
         region = ("north", "south")[number % 2]
         domain = f"{region}-d{number // 2 % 4}"
@@ -223,7 +239,7 @@
 def start_cluster(
     network: Network, size: int, regions: Iterable[str] = ("north",)
 ) -> list[str]:
-    """Start members that all know the first one, and let them settle."""
+    """Start members with the first one as seed, and let them converge."""
     names: list[str] = []
     for region in regions:
         for number in range(size):
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip played in virtual time: loss, cuts, freezes, restarts."""
+"""Gossip in virtual time: packet loss, partitions, pauses and restarts."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -26,10 +26,10 @@
         assert all(TRIP.id in network.facts(name) for name in names)
 
     def test_320_members_that_lose_a_failure_domain(self):
-        """A runner gets work for seconds after its notice.
+        """A runner still gets work seconds after its termination notice.
 
-        At the size of the target, a failure domain with an eighth of the
-        members goes in the same moment.
+        At the target size, a failure domain with an eighth of the members is
+        lost at the moment of the notice.
         """
         network = Network()
         start_settled(network, 320)
@@ -43,9 +43,9 @@
         assert all(TRIP.id in network.facts(name) for name in network.nodes)
 
     def test_each_fact_costs_each_member_few_calls(self):
-        """A reclaim of a failure domain takes the gateways' processors.
+        """Gossip saturates the gateways' CPUs when a domain is reclaimed.
 
-        Each of its facts is pushed again each time it is heard of.
+        A member pushes a fact again each time it receives the fact.
         """
         network = Network()
         names = start_cluster(network, 40)
@@ -60,9 +60,9 @@
         assert sent.count("push") <= 3 * len(names)
 
     def test_lost_pushes_are_recovered(self):
-        """One gateway goes on serving a tripped version for good.
+        """One gateway serves a tripped version forever.
 
-        All three pushes of the trip to it were lost.
+        All three pushes of the trip to this gateway were lost.
         """
         network = Network()
         names = start_cluster(network, 12)
@@ -77,8 +77,8 @@
     def test_leaving_member_still_receives_facts(self):
         """A draft that a leaving gateway still relays is lost.
 
-        It resumed the draft at a runner that was leaving too: nobody
-        pushed it any facts once it had left the rings.
+        The gateway had left the rings and received no more pushes, so it
+        resumed the draft on a runner that was leaving as well.
         """
         network = Network()
         names = start_cluster(network, 8)
@@ -90,10 +90,10 @@
         assert TRIP.id in network.facts(names[3])
 
     def test_groups_that_started_apart_meet(self):
-        """Two groups of gateways start without knowing of each other.
+        """Two groups of gateways each admit whole quotas.
 
-        Their seeds did not listen yet. Each group is settled and takes
-        itself for the whole system, and lets whole quotas through.
+        Their seeds were not listening at the start, so each group settled by
+        itself and considers itself the whole system.
         """
         network = Network()
         names = []
@@ -126,9 +126,9 @@
 
 class TestDetection:
     def test_lost_member_is_dead_for_all(self):
-        """Callers wait on the address of a gateway that is gone.
+        """Callers wait for a gateway whose host has failed.
 
-        Its host was lost without a word, and its peers still list it.
+        The host failed without notice, and the peers still list the gateway.
         """
         network = Network()
         names = start_cluster(network, 9)
@@ -137,9 +137,9 @@
         network.check_converged()
 
     def test_silent_link_does_not_kill(self):
-        """A healthy gateway is dropped from the entry list.
+        """A healthy gateway is removed from the entry list.
 
-        Only its link with one peer is cut, and that peer accuses it.
+        Only its link to one peer is broken, and that peer suspects it.
         """
         network = Network()
         names = start_cluster(network, 9)
@@ -152,9 +152,10 @@
                 assert all(row.state == "alive" for row in rows)
 
     def test_address_given_to_another_does_not_hide_a_loss(self):
-        """A lost gateway is listed for good.
+        """A failed gateway stays listed forever.
 
-        The cloud gave its address to a new host, which answers its probes.
+        The cloud reassigned its address to a new host, which answers the
+        probes.
         """
         network = Network()
         names = start_cluster(network, 6)
@@ -165,10 +166,10 @@
         network.check_converged()
 
     def test_failure_domain_lost_at_once(self):
-        """Some survivors go on using a runner that leaves.
+        """Some surviving members keep using a leaving runner.
 
-        A quarter of the members went in the same second; the fact was
-        pushed to members that were gone.
+        A quarter of the members failed at once, and the fact was pushed to
+        failed members.
         """
         for seed in range(20):
             network = Network(seed)
@@ -183,10 +184,10 @@
 
 
 class TestSlow:
-    """Members that are late themselves, and what they say of others."""
+    """Members that are overloaded themselves do not suspect others."""
 
     def play(self, late: float) -> list[Call]:
-        """Return what a member asks after a lost probe and a late tick."""
+        """Return a member's calls after a late tick and a failed probe."""
         network = Network()
         names = start_cluster(network, 6)
         node = network.nodes[names[0]]
@@ -202,20 +203,20 @@
         assert any(call.purpose == "ask" for call in self.play(0.1))
 
     def test_a_late_member_suspects_nobody(self):
-        """All hosts lose power, and are slow as they start together.
+        """Facts take four seconds to reach all members after a power loss.
 
-        Each held the others dead, whose refutations kept all of them slow:
-        news took four seconds to reach everyone.
+        All hosts start together and are slow. They marked each other dead,
+        and the refutations kept all of them slow.
         """
         assert not any(call.purpose == "ask" for call in self.play(0.8))
 
 
 class TestFreeze:
     def test_thawed_member_serves_only_what_is_in_force(self):
-        """A caller's request is routed by a configuration long replaced.
+        """A request is routed by an outdated configuration.
 
-        A gateway was stopped for a minute, its peers held it dead, and it
-        went on with its old facts from the first instruction on.
+        A gateway was suspended for a minute and marked dead by its peers. On
+        resuming it used its old facts from the first instruction.
         """
         network = Network()
         names = start_cluster(network, 6)
@@ -234,9 +235,9 @@
         network.check_converged()
 
     def test_thawed_member_condemns_nobody(self):
-        """All gateways vanish from the entry list for some seconds.
+        """All gateways disappear from the entry list for some seconds.
 
-        To one that was frozen all its calls had timed out.
+        For a gateway that was suspended, all its calls had timed out.
         """
         network = Network()
         names = start_cluster(network, 6)
@@ -252,10 +253,10 @@
                 assert all(row.state == "alive" for row in others)
 
     def test_inquiry_older_than_the_freeze_is_dropped(self):
-        """A healthy gateway is suspected by one that was frozen.
+        """A gateway that was suspended suspects a healthy one.
 
-        The frozen one was about to ask others about it, and took its own
-        silence for theirs.
+        Indirect probes were pending before the pause, and the gateway takes
+        the lack of answers during the pause for a failure of the peer.
         """
         network = Network()
         names = start_cluster(network, 6)
@@ -270,10 +271,10 @@
         assert accused == {names[2]}
 
     def test_answer_older_than_the_freeze_does_not_count(self):
-        """A thawed gateway sends work to a runner that leaves.
+        """A resumed gateway sends work to a leaving runner.
 
-        The answer it had waited for lay in its socket all the while, and
-        told of a time before the runner's notice.
+        The sync answer that waited in its socket during the pause was older
+        than the runner's termination notice.
         """
         network = Network()
         names = start_cluster(network, 6)
@@ -302,10 +303,10 @@
 
 class TestPartition:
     def test_two_regions_apart_for_an_hour(self):
-        """An old configuration comes back, or a region is taken for dead.
+        """An old configuration reappears, or a region is marked dead.
 
-        The regions lost each other for an hour, in which tickets went on
-        in one of them, a host was lost and another was replaced.
+        The regions are partitioned for an hour, during which both publish
+        facts and a host is replaced.
         """
         network = Network()
         names = start_cluster(network, 8, ("north", "south"))
@@ -337,9 +338,9 @@
         assert "south-5" not in network.serving(names[0])
 
     def test_lost_region_is_judged_by_its_first_new_member(self):
-        """Callers are sent to a region that is gone for good.
+        """Callers are sent to a region that was lost permanently.
 
-        No other region judges its members, and none of them is left to.
+        Other regions do not judge its members, and no member is left there.
         """
         network = Network()
         names = start_cluster(network, 8, ("north", "south"))
@@ -352,9 +353,10 @@
         network.check_converged()
 
     def test_halves_of_a_region_find_each_other(self):
-        """Two entry lists go on side by side for good.
+        """Two separate entry lists exist forever.
 
-        Each half of a region held the other dead, and probed only its own.
+        Each half of a region marked the other dead and probed only its own
+        members.
         """
         network = Network()
         names = start_cluster(network, 8)
@@ -382,10 +384,10 @@
         assert len(network.nodes) == 16
 
     def test_all_bridges_replaced_while_regions_are_apart(self):
-        """Two regions never hear of each other again.
+        """Two regions stay disconnected after a partition.
 
-        In the hour apart each lost all members by whom the other would
-        have reached it.
+        During the partition each region lost all its bridges, the only
+        members that the other region linked to.
         """
         network = Network()
         start_cluster(network, 10, ("north", "south"))
@@ -402,10 +404,10 @@
 
 
 class GossipMachine(RuleBasedStateMachine):
-    """Any order of losses, cuts, freezes, restarts and publications.
+    """Random packet loss, partitions, pauses, restarts and publications.
 
-    Ranks are checked to grow with each fact learned (in the network); at
-    the end all is healed, and all have to agree.
+    The network checks that the rank of a fact never decreases at a member.
+    At the end all faults are removed and all members must converge.
     """
 
     def __init__(self):
--- a/test/test_hub.py
+++ b/test/test_hub.py
@@ -1,4 +1,4 @@
-"""Who hears all gateways, and who reads the store for the others."""
+"""Tests of the assignment of hubs, store readers and contenders."""
 
 import pytest
 
@@ -62,7 +62,7 @@
     def test_few_read_in_different_domains_however_many_there_are(
         self, gateways, domains
     ):
-        """Calls to the store that grow with the failure domains."""
+        """Calls to the store grow with the number of failure domains."""
         members = make_members(gateways, domains)
         roles = choose_roles(members, ())
         apart = {m.failure_domain for m in members if m.name in roles.readers}
@@ -78,10 +78,10 @@
         assert choose_roles(members, ()) == choose_roles(members[::-1], ())
 
     def test_gateways_that_lost_the_store_are_skipped(self):
-        """The store turns away the gateways that read it for the others.
+        """No gateway learns of a leaving runner.
 
-        If they went on as readers, nobody would hear of a runner that
-        leaves.
+        The store rejects the calls of all current readers, and they remain
+        the readers.
         """
         members = make_members(82, 3)
         before = choose_roles(members, ())
@@ -102,7 +102,7 @@
 
 
 class TestNews:
-    """Whether a gateway relies on those that read the store."""
+    """When a gateway reads the store itself instead of relying on readers."""
 
     ROLES = choose_roles(make_members(90, 3), ())
     ORDINARY = "gateway-089"
@@ -118,28 +118,28 @@
     def test_others_do_not_read_while_readers_are_active(
         self, gateways, bound
     ):
-        """All gateways would read the store where nothing has happened."""
+        """All gateways read the store although the readers are active."""
         crowd = max(1.0, gateways / HUB_REPORTS / REPORT_SECONDS)
         hub = REPORT_SECONDS * crowd
         oldest = ReportAge(hub, hub + TURN_SECONDS + READER_LONG_POLL_SECONDS)
         assert self.find_who_reads(oldest, bound) == self.ROLES.readers
 
     def test_a_few_others_read_when_no_reader_does(self):
-        """A lost store would get the calls of all gateways."""
+        """An unavailable store receives the calls of all gateways."""
         reading = self.find_who_reads(ReportAge(0.4, 2.3))
         assert reading == self.ROLES.readers | self.ROLES.backups
         assert len(self.ROLES.backups) == 3 * BACKUP_READERS_PER_DOMAIN
         assert not self.ROLES.backups & self.ROLES.readers
 
     def test_everyone_reads_when_the_hub_is_silent(self):
-        """A configuration would not be in force in time."""
+        """A configuration change takes effect too late."""
         assert self.ORDINARY in self.find_who_reads(ReportAge(2.3, 2.3))
 
 
 class TestContenders:
     @pytest.mark.parametrize("gateways", [9, 67, 195])
     def test_contenders_are_in_different_domains(self, gateways):
-        """Guards against duties that nobody takes when a domain is lost."""
+        """No gateway acquires the duties when a failure domain is lost."""
         members = make_sorted_members(gateways)
         roles = choose_roles(members, ())
         domains = {m.name: m.failure_domain for m in members}
@@ -159,7 +159,7 @@
 
     @pytest.mark.parametrize("gateways", [9, 67, 195])
     def test_restarted_gateway_takes_no_role(self, gateways):
-        """Guards against duties that wait for gateways that just started."""
+        """The duties wait for gateways that have just started."""
         members = make_sorted_members(gateways)
         before = choose_roles(members[1:], ())
         back = members[0]._replace(incarnation=2)
@@ -168,14 +168,14 @@
         assert roles.mesh or roles.hubs == before.hubs
 
     def test_restart_elsewhere_does_not_move_the_duties(self):
-        """Guards against a healthy holder that a restart elsewhere moves."""
+        """A restart of another gateway moves the duties of a healthy one."""
         members = make_sorted_members(9)
         (last, *_) = members[-1:]
         assert last.name in choose_roles(members, ()).eligible_holders
 
 
 def make_sorted_members(count: int) -> list[Member]:
-    """Return members of three domains, those of one with similar names."""
+    """Return members of three domains, each with consecutive names."""
     third = count // 3
     return [
         each._replace(failure_domain=f"domain-{min(2, number // third)}")
--- a/test/test_lease.py
+++ b/test/test_lease.py
@@ -38,10 +38,10 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Controllers that are paused at any point, over a failing store.
+    """Controllers that are paused at any point, with a failing store.
 
-    A paused or dead controller is one that takes no step while time passes;
-    when it goes on, it acts on what it knew before.
+    A paused or dead controller takes no step while time passes. When it
+    resumes, it acts on its old state.
     """
 
     world: World
@@ -124,7 +124,7 @@
 
 
 class ReturnMachine(LeaseMachine):
-    """The same over a store that comes back from older copies."""
+    """LeaseMachine with a store that is rolled back to older snapshots."""
 
     @rule(transactions=strategies.integers(1, 4))
     def go_back(self, transactions: int) -> None:
@@ -133,7 +133,10 @@
 
 class TestFences:
     def test_number_is_not_given_out_again_after_returns(self) -> None:
-        """Guards against a row that one who missed a return overwrites."""
+        """A fencing number is issued twice.
+
+        A controller unaware of a store rollback overwrites the row.
+        """
         world = World([1.0, 1.0])
         second, first = world.holders
         world.acquire(first)
@@ -147,7 +150,7 @@
 
 
 class TestLeaseOverReturns(ReturnMachine.TestCase):
-    """Two holders at once, or one fencing number of two holders."""
+    """Two holders at once or a reused fencing number, over rollbacks."""
 
     settings = settings(max_examples=300, stateful_step_count=50)
 
@@ -158,10 +161,10 @@
 
 class TestOrders:
     def test_new_holder_waits_for_orders_of_the_one_before(self) -> None:
-        """A controller hands a lease over with an order still under way.
+        """A controller hands a lease over with an order still in flight.
 
-        The runner ignores fencing numbers. If the next controller ordered
-        at once, the older order would come last and undo the newer one.
+        The runner ignores fencing numbers. If the next controller sent an
+        order at once, the older order could arrive last and undo the newer.
         """
         world = World([1.0, 1.0])
         old, new = world.holders
@@ -180,10 +183,10 @@
         assert world.applied == [1, 2]
 
     def test_short_pause_before_an_order_does_no_harm(self) -> None:
-        """A controller is paused between asking and sending an order.
+        """A controller is paused between checking the lease and sending.
 
-        Its lease ends meanwhile and the next holder orders the runner. With
-        little of the lease left the order would arrive after that.
+        Its lease expires during the pause and the next holder sends an order.
+        Unless enough of the lease was left, the older order arrives last.
         """
         world = World([1.0, 1.0])
         old, new = world.holders
@@ -200,10 +203,10 @@
         world.check()
 
     def test_released_lease_is_held_by_one_only(self) -> None:
-        """A lease is released, and the reply to the release is slow.
+        """Two controllers hold a lease whose release has a slow reply.
 
-        Another controller takes the lease before the first one has heard
-        that it was given away.
+        Another controller acquires the lease before the first one receives
+        the reply to its release.
         """
         world = World([1.0, 1.0])
         old, new = world.holders
@@ -218,7 +221,7 @@
 
 class TestTurns:
     def take_turns(self, world: World) -> None:
-        """Let one controller hold the lease, and another one after it."""
+        """Let one controller hold the lease and then another one."""
         old, new = world.holders
         world.wait(60.0)
         world.acquire(old)
@@ -229,7 +232,7 @@
     def test_released_lease_is_not_taken_back_from_the_next_holder(
         self,
     ) -> None:
-        """Guards against work that goes from A to B and back at once."""
+        """Work moves from A to B and back too soon."""
         world = World([1.0, 1.0])
         old, new = world.holders
         self.take_turns(world)
@@ -239,7 +242,7 @@
     def test_restarted_holder_does_not_take_it_back_from_the_next_one(
         self,
     ) -> None:
-        """Guards against A, B, A by two processes of one host."""
+        """Work moves from A to B and back to a new process of host A."""
         world = World([1.0, 1.0])
         old, new = world.holders
         self.take_turns(world)
@@ -248,7 +251,10 @@
         world.check()
 
     def test_call_that_takes_effect_late_counts_as_work(self) -> None:
-        """Guards against A, B, A where the first one's answer was lost."""
+        """Work moves from A to B and back, after A lost an answer.
+
+        The unanswered call of A may take effect later and counts as work.
+        """
         world = World([1.0, 1.0])
         old, new = world.holders
         world.acquire(old)
@@ -270,7 +276,7 @@
         world.finish()
 
     def test_lease_is_not_taken_back_under_an_earlier_call(self) -> None:
-        """Guards against a lapsed holder that comes back amid its call."""
+        """A holder reacquires an expired lease during its earlier call."""
         world = World([1.0, 1.0])
         old, new = world.holders
         world.acquire(old)
@@ -287,7 +293,7 @@
         world.finish()
 
     def test_lapsed_lease_is_not_taken_back_from_the_next_holder(self) -> None:
-        """Guards against A, B, A where the first one lost the store."""
+        """Work moves from A to B and back, after A lost the store."""
         world = World([1.0, 1.0])
         old, new = world.holders
         world.wait(60.0)
@@ -305,7 +311,7 @@
         world.check()
 
     def test_lease_is_not_released_under_a_call(self) -> None:
-        """Guards against a call that ends after the next holder's began."""
+        """A call is still in flight when the next holder starts working."""
         world = World([1.0, 1.0])
         old, new = world.holders
         world.acquire(old)
@@ -320,7 +326,7 @@
         assert len(world.calls) == 1
 
     def test_sole_holder_reacquires_at_once(self) -> None:
-        """Guards against work that stands still for nobody's sake."""
+        """Work stops although no other host held the lease in between."""
         world = World([1.0])
         (holder,) = world.holders
         world.acquire(holder)
@@ -333,7 +339,7 @@
         assert holder.is_held(world.now)
 
     def test_call_of_an_ended_process_counts_as_work(self) -> None:
-        """Guards against A, B, A where A restarted with a call under way."""
+        """Work moves from A to B and back, with A restarted during a call."""
         world = World([1.0, 1.0], DUTIES)
         old, new = world.holders
         world.acquire(old)
@@ -363,7 +369,7 @@
     def test_late_call_counts_as_work_after_a_return(
         self, transactions: int
     ) -> None:
-        """Guards against A, B, A where the store no longer knows of B."""
+        """Work moves from A to B and back, with B's row lost in a rollback."""
         world = World([1.0, 1.0], DUTIES)
         old, new = world.holders
         world.acquire(old)
@@ -392,10 +398,10 @@
             world.take_effect(each)
 
     def test_late_write_of_an_earlier_era_gives_no_number_twice(self) -> None:
-        """Guards against one fencing number of two holders.
+        """Two holders get the same fencing number.
 
-        The version that a renewal expects is given out again by the store
-        that came back, so that the renewal undoes a newer holder's row.
+        After a rollback the store reuses the version that an older renewal
+        expects, so that the renewal overwrites a newer holder's row.
         """
         world = World([1.0, 1.0, 1.0], DUTIES)
         first, old, new = world.holders
@@ -422,7 +428,7 @@
     def test_process_that_starts_does_not_take_a_released_lease_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against A, B, A by two processes of one host."""
+        """Work moves from A to B and back to a new process of host A."""
         monkeypatch.setattr(
             "lagoonpost.store.lease.read_clock",
             lambda: time.monotonic() + 2 * REST_SECONDS,
--- a/test/test_ledger.py
+++ b/test/test_ledger.py
@@ -18,11 +18,11 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Callers at gateways that fail, freeze and lose replies at any point.
+    """Callers of gateways that fail, pause or lose replies at any point.
 
-    A frozen gateway is one whose caller is not served while time passes. A
-    dead one is never served again. A caller that tries again at another
-    gateway at once is a second call with the same key.
+    While a gateway is paused, its caller is not served as time passes; after
+    it died, its caller is never served again. A retry at another gateway is
+    modelled as a second call with the same key.
     """
 
     def __init__(self) -> None:
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,4 +1,4 @@
-"""Merging of rows, neighbours, and what refutes a verdict."""
+"""Tests of row merging, neighbour selection and refutation."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -83,10 +83,10 @@
         assert first.digest.buckets == second.digest.buckets
 
     def test_expired_fact_does_not_come_back(self):
-        """A runner that is long back gets no work.
+        """A runner that returned long ago gets no work.
 
-        Its old leaving fact was forgotten everywhere but at a process
-        whose clock is behind, which passes it on once more.
+        Its old leaving fact has expired everywhere except at a process whose
+        clock is behind, which gossips it again.
         """
         table = FactTable()
         fact = Fact("runner_leaving", "r", 1, expires_after=10.0)
@@ -97,9 +97,9 @@
         assert table.digest.buckets == FactTable().digest.buckets
 
     def test_tombstone_outlives_the_row_it_buries(self):
-        """A lost host is listed again after a partition.
+        """A failed host is listed again after a partition.
 
-        A member that was away for an hour still holds it alive.
+        A member that was partitioned for an hour still lists it as alive.
         """
         table = MemberTable()
         alive = make_member(1)
@@ -140,10 +140,10 @@
 class TestNeighbours:
     @given(st.integers(1, 60), st.sets(st.integers(0, 59), max_size=20))
     def test_all_are_reached_over_neighbours(self, count, avoided):
-        """Some gateways never hear of a change.
+        """Some gateways never receive a change.
 
-        After a loss the neighbours of those that are left form two groups
-        that do not talk to each other.
+        After a loss, the remaining members form two groups that are not
+        neighbours of each other.
         """
         rows = [make_member(number) for number in range(count)]
         topology = build_topology(rows, "north")
@@ -177,9 +177,9 @@
             assert all(not name.startswith(row.region) for name in names)
 
     def test_bridges_are_in_different_failure_domains(self):
-        """The regions fall apart though only one failure domain is lost.
+        """Two regions are disconnected by the loss of one failure domain.
 
-        All bridges happened to be in that domain.
+        All bridges were in that domain.
         """
         rows = [make_member(number) for number in range(40)]
         rows += [make_member(number, "south") for number in range(40)]
--- a/test/test_order.py
+++ b/test/test_order.py
@@ -43,7 +43,7 @@
 
 
 class World:
-    """Two controllers' keepers of one lease, and an engine."""
+    """Lease keepers of two controllers for one lease, and an engine."""
 
     def __init__(self, engine: EngineStandin, address: Address) -> None:
         checks = engine.state.options.checks_fence
@@ -91,10 +91,10 @@
 
 class TestOrders:
     def test_paused_holder_orders_nothing_after_its_lease(self) -> None:
-        """A controller is paused past its lease while another takes over.
+        """A controller sends a pending order after its lease has expired.
 
-        On its return it goes on with the order it was about to give. The
-        runner ignores fencing numbers and would go back to the old state.
+        It was paused while another controller took over. The runner ignores
+        fencing numbers and would revert to the old state.
         """
 
         async def story(world: World) -> None:
@@ -111,10 +111,10 @@
         play(story, checks_fence=False)
 
     def test_late_order_is_undone(self) -> None:
-        """An order of the earlier holder arrives after the new holder's.
+        """An order of the previous holder arrives after the new holder's.
 
-        The runner ignores fencing numbers. The new holder can't know, but
-        states what it wants again.
+        The runner ignores fencing numbers. The new holder cannot detect this,
+        but it repeats the desired state.
         """
 
         async def story(world: World) -> None:
--- a/test/test_reachability.py
+++ b/test/test_reachability.py
@@ -1,4 +1,4 @@
-"""Quotas while gateways are cut off from each other."""
+"""Quotas while gateways are partitioned from each other."""
 
 from random import Random
 
@@ -18,11 +18,11 @@
 HOT = Workspace("hot", ("k",), rate=90_000, burst=100_000, by_tokens=True)
 GATEWAYS = 9
 CUT_FROM, CUT_UNTIL = 1.0, 25.0
-NEWS_SECONDS = 0.2
-UNHEARD_SECONDS = 2.0
-"""Time after which a gateway that is not heard counts as unheard."""
+REPORT_SECONDS = 0.2
+UNREACHABLE_SECONDS = 2.0
+"""Time without reports after which a gateway counts as unreachable."""
 DEAD_SECONDS = 5.0
-"""Time after which one that does not answer is held dead."""
+"""Time after which a gateway that does not answer is marked dead."""
 
 
 def make_member(
@@ -41,61 +41,66 @@
 
 
 class Fleet:
-    """Gateways that tell each other of their use while they are not cut."""
+    """Gateways that report their quota usage to the reachable gateways.
+
+    Args:
+        cut: Indexes of the gateways that are partitioned from the others.
+        together: Whether the partitioned gateways reach each other.
+    """
 
     def __init__(self, cut: frozenset[int], together: bool) -> None:
         self.cut = cut
         self.together = together
         self.quotas = [Quotas(BOUNDS) for _ in range(GATEWAYS)]
 
-    def hears(self, one: int, other: int, now: float) -> bool:
+    def can_reach(self, one: int, other: int, now: float) -> bool:
         if not CUT_FROM <= now < CUT_UNTIL or one == other:
             return True
         if one in self.cut and other in self.cut:
             return self.together
         return one not in self.cut and other not in self.cut
 
-    def find_part(self, one: int, now: float) -> float:
+    def compute_share(self, one: int, now: float) -> float:
         since = now - CUT_FROM
-        late = since > UNHEARD_SECONDS
+        late = since > UNREACHABLE_SECONDS
         heard = {
             f"gateway-{each}"
             for each in range(GATEWAYS)
-            if self.hears(one, each, now) or not late
+            if self.can_reach(one, each, now) or not late
         }
         members = [
             make_member(each, "dead", CUT_FROM + DEAD_SECONDS)
-            if not self.hears(one, each, now) and since > DEAD_SECONDS
+            if not self.can_reach(one, each, now) and since > DEAD_SECONDS
             else make_member(each)
             for each in range(GATEWAYS)
         ]
         unheard = find_unreachable(members, heard, now)
         return compute_reachable_share(len(heard), len(unheard))
 
-    def tell(self, now: float) -> None:
+    def send_reports(self, now: float) -> None:
         for one, quota in enumerate(self.quotas):
             quota.note_told()
             for other, receiver in enumerate(self.quotas):
-                if one != other and self.hears(one, other, now):
+                if one != other and self.can_reach(one, other, now):
                     recent = quota.list_recent(now)
                     receiver.hear(str(one), dict(quota.used), recent, now)
 
 
 def play(fleet: Fleet, rate: float, seed: int) -> float:
-    """Return the most units that passed within one window."""
+    """Return the largest number of units admitted within one window."""
     rng = Random(seed)
     passed: list[tuple[float, float]] = []
-    now = told = 0.0
+    now = reported_at = 0.0
     while now < CUT_UNTIL:
         cost = rng.choice([1000.0, 3000.0, 9000.0, 20000.0])
         now += rng.expovariate(rate / cost)
         one = rng.randrange(GATEWAYS)
-        part = fleet.find_part(one, now)
-        if fleet.quotas[one].take(HOT, cost, part, now) is None:
+        share = fleet.compute_share(one, now)
+        if fleet.quotas[one].take(HOT, cost, share, now) is None:
             passed.append((now, cost))
-        if now - told > NEWS_SECONDS:
-            told = now
-            fleet.tell(now)
+        if now - reported_at > REPORT_SECONDS:
+            reported_at = now
+            fleet.send_reports(now)
     return max(
         sum(cost for at, cost in passed if start <= at < start + 8.0)
         for start, _ in passed
@@ -109,10 +114,10 @@
     def test_sides_of_a_cut_share_a_quota(
         self, cut: frozenset[int], together: bool, seed: int
     ):
-        """A workspace sends three times its quota; some gateways are cut off.
+        """Each side of a partition admits the whole quota.
 
-        After five seconds each side holds the other dead. It takes itself
-        for all there is, and each side lets the whole quota through.
+        A workspace sends three times its quota. After five seconds each side
+        has marked the other dead and considers itself the whole system.
         """
         quota = HOT.rate * BOUNDS.window + HOT.burst
         most = quota * (1 + BOUNDS.overage) + BOUNDS.slack
--- a/test/test_start.py
+++ b/test/test_start.py
@@ -1,4 +1,4 @@
-"""All gateways start together, as after a loss of power everywhere."""
+"""All gateways start together, as after a power loss."""
 
 from collections import Counter
 from functools import cache
@@ -13,16 +13,16 @@
 from lagoonpost.tables.fact import Fact
 
 APART_SECONDS = 0.8
-"""How far apart they listen: hosts are unequal."""
+"""Spread of the start times, as hosts differ in speed."""
 LOOK_SECONDS = 0.2
-"""When each reads in the store where the others were before."""
+"""Delay until a gateway reads the others' last addresses from the store."""
 
 
 class Start:
-    """Gateways that find the places of all others in the store.
+    """Gateways that read the addresses of all others from the store.
 
     Attributes:
-        calls: Calls by sender.
+        calls: Number of calls by sender.
     """
 
     def __init__(self, gateways: int, seed: int = 1) -> None:
@@ -41,7 +41,8 @@
             send(name, node, call)
 
         self.network._send = count
-        # Sockets that don't listen yet refuse; the stand-in says nothing.
+        # A real socket that does not listen yet refuses connections; the
+        # simulated network does not answer.
         for name in self.names:
             delay = rng.uniform(0.0, APART_SECONDS)
             self.network._at(delay, lambda n=name: self._start(n))
@@ -57,26 +58,28 @@
         )
 
     def run_until(self, seconds: float) -> None:
-        """Play until a time from the start on."""
+        """Run the simulation until ``seconds`` after the start."""
         self.network.run(START + seconds - self.network.now)
 
     def count_known(self) -> int:
-        """Return how many the one knows that knows fewest."""
+        """Return the smallest number of members known to any gateway."""
         return min(len(self.network.serving(name)) for name in self.names)
 
 
 class Played(NamedTuple):
-    """What a start showed.
+    """Results of one simulated start.
 
     Attributes:
-        known: Gateways that each knew three seconds after the last look.
-        calls: Most calls of one in the first five seconds.
-        told: How many knew a second later of a fact told at six seconds.
+        known: Smallest number of members known to any gateway three seconds
+            after the last read of the store.
+        calls: Largest number of calls by one gateway in five seconds.
+        informed: Number of gateways that received a fact within one second,
+            when it was published at six seconds.
     """
 
     known: int
     calls: int
-    told: int
+    informed: int
 
 
 @cache
@@ -87,23 +90,23 @@
     start.run_until(5.0)
     calls = max(start.calls.values())
     start.run_until(6.0)
-    teller = Random(1).choice(start.names)
-    start.network.publish(teller, Fact("endpoint", "runner", 1))
+    publisher = Random(1).choice(start.names)
+    start.network.publish(publisher, Fact("endpoint", "runner", 1))
     start.run_until(7.0)
-    told = sum(bool(start.network.facts(name)) for name in start.names)
-    return Played(known, calls, told)
+    informed = sum(bool(start.network.facts(name)) for name in start.names)
+    return Played(known, calls, informed)
 
 
 @pytest.mark.parametrize("gateways", [9, 195, 324])
 class TestStart:
     def test_each_calls_few_others(self, gateways):
-        """Each called all others, and served nobody meanwhile."""
+        """Each gateway calls all others and serves no callers meanwhile."""
         assert play_start(gateways).calls < 120
 
     def test_all_know_all_soon(self, gateways):
-        """Who knows only some lets through too little or too much."""
+        """A gateway that knows only some members misjudges its quota."""
         assert play_start(gateways).known == gateways
 
     def test_news_reaches_all_soon_after(self, gateways):
-        """A runner left seconds after the start and still got requests."""
-        assert play_start(gateways).told == gateways
+        """A runner that leaves after the start still gets requests."""
+        assert play_start(gateways).informed == gateways
--- a/test/test_subset.py
+++ b/test/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of runners: spread, steady, and all runners covered."""
+"""Tests of subsetting: bounded, even, stable and covering all runners."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,7 +19,7 @@
         assert size == runners if runners <= MIN_SUBSET else size <= MAX_SUBSET
 
     def test_every_runner_is_known_at_the_target_size(self):
-        """Accelerators stand idle because no gateway sends to them."""
+        """Accelerators stay idle because no gateway uses their runners."""
         runners = make_declaration(2800, domains=8).runners
         known = [
             runner.name
