--- a/lagoonpost/forwarding/admission.py
+++ b/lagoonpost/forwarding/admission.py
@@ -38,8 +38,8 @@
         on_take: Called when something was let through.
     """
 
-    shared: Shared
-    on_take: Callable[[], None]
+    cluster: Shared
+    on_quota_charged: Callable[[], None]
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
     ) -> None:
         self._belief = belief
         self._rng = rng
-        self.breaks = BrokenAnswerTable()
+        self.crashes = BrokenAnswerTable()
         self.quotas = Quotas(_find_quota_bounds(bounds), started)
 
     def set_bounds(self, bounds: Bounds) -> None:
@@ -81,7 +81,7 @@
             exchange.request.target,
             exchange.request.body,
         )
-        if self.breaks.is_poison(exchange.fingerprint, exchange.now()):
+        if self.crashes.is_poison(exchange.fingerprint, exchange.now()):
             return QUARANTINED
         if not self._belief.find_runners(service):
             return NO_RUNNER
@@ -94,15 +94,15 @@
         tokens = exchange.arrival.tokens
         total = None if tokens is None else tokens.prompt + tokens.output
         cost = count_units(workspace, total)
-        reports = self.shared.reports
-        gateways = self.shared.count_gateways()
+        reports = self.cluster.reports
+        gateways = self.cluster.count_gateways()
         wait = self.quotas.take(
             workspace, cost, reports.heard_part(), read_clock(), gateways
         )
         exchange.quota = self.quotas.weighed
         if wait is None:
             exchange.units = cost
-            self.on_take()
+            self.on_quota_charged()
             if self.quotas.must_tell(workspace, gateways):
                 reports.nudge()
             return None
@@ -111,7 +111,7 @@
 
     def give_back(self, exchange: Exchange) -> None:
         """Return a request's part of the quota if it has not run."""
-        if exchange.surely_not_run and exchange.workspace is not None:
+        if exchange.known_not_run and exchange.workspace is not None:
             self.quotas.give_back(
                 exchange.workspace, exchange.units, read_clock()
             )
--- a/lagoonpost/forwarding/attempt.py
+++ b/lagoonpost/forwarding/attempt.py
@@ -15,10 +15,10 @@
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.saved_run import SavedRun
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """Longest time to connect to a runner, 50 round trips between the failure
 domains of one region; one that is gone without a reset costs as much."""
-MOST_BODY = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 """Bytes of an answer that is not a stream; larger ones count as broken."""
 
 
@@ -87,7 +87,9 @@
         """Headers of the answer."""
         return self._stream.headers
 
-    async def read(self, patience: float | None) -> bytes | Broken | Silent:
+    async def read(
+        self, idle_timeout: float | None
+    ) -> bytes | Broken | Silent:
         """Return the next part of the body; empty at its end.
 
         Args:
@@ -95,14 +97,14 @@
                 to be lost; None waits for as long as it takes.
         """
         try:
-            if patience is None:
+            if idle_timeout is None:
                 return await anext(self._parts)
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(idle_timeout):
                 return await anext(self._parts)
         except StopAsyncIteration:
             return b""
         except TimeoutError:
-            return Silent(patience or 0.0)
+            return Silent(idle_timeout or 0.0)
         except CallFailedError as error:
             return Broken(str(error))
 
@@ -116,8 +118,8 @@
     endpoint: Endpoint,
     request: Request,
     request_id: str,
-    told: Instructions,
-    patience: float | None,
+    instructions: Instructions,
+    first_byte_timeout: float | None,
 ) -> Outcome:
     """Send a request over a new connection and read how its answer begins.
 
@@ -139,21 +141,21 @@
             request.method,
             request.target,
             request.body,
-            make_forwarded(request.headers, told),
+            make_forwarded(request.headers, instructions),
             fresh=True,
-            connect_seconds=CONNECT_SECONDS,
+            connect_seconds=CONNECT_TIMEOUT_SECONDS,
         )
     except CallFailedError as error:
         return Unreachable(str(error))
     keep = False
     try:
-        async with asyncio.timeout(patience):
+        async with asyncio.timeout(first_byte_timeout):
             await stream.receive_head()
-        outcome = await _read_beginning(stream, request_id, patience)
+        outcome = await _read_beginning(stream, request_id, first_byte_timeout)
         keep = isinstance(outcome, Began)
         return outcome
     except TimeoutError:
-        return Silent(patience or 0.0)
+        return Silent(first_byte_timeout or 0.0)
     except CallFailedError as error:
         return Broken(str(error))
     finally:
@@ -172,7 +174,7 @@
     if is_event_stream(stream.headers) and stream.status == 200:
         first = await call.read(patience)
         return first if not isinstance(first, bytes) else Began(call, first)
-    response = await stream.read(MOST_BODY)
+    response = await stream.read(MAX_BODY_BYTES)
     return Whole(response)
 
 
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -16,14 +16,17 @@
 from lagoonpost.forwarding.duties import Duties
 from lagoonpost.forwarding.exchange import Exchange
 from lagoonpost.forwarding.follow import BeliefFollower, find_wait
-from lagoonpost.forwarding.front import Front
+from lagoonpost.forwarding.forwarder import Forwarder
 from lagoonpost.forwarding.metrics import ForwardingMetrics
-from lagoonpost.forwarding.request_line import log_exchange
+from lagoonpost.forwarding.request_log import log_exchange
 from lagoonpost.forwarding.shared import Shared
 from lagoonpost.forwarding.shifts import Shifts, keep_shifting
-from lagoonpost.forwarding.step import sleep_in_step
-from lagoonpost.forwarding.upkeep import SettingsWatch, watch_thaw
+from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.forwarding.usage import UsageCount
+from lagoonpost.forwarding.watchers import (
+    SettingsWatcher,
+    watch_for_suspension,
+)
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Address
 from lagoonpost.http.responder import Limits
@@ -40,14 +43,14 @@
 from lagoonpost.tables.gateway_report import GatewayReport, Taken
 from lagoonpost.tables.traffic import Traffic
 
-LAME_SECONDS = 2.5
+LAME_DUCK_SECONDS = 2.5
 """How long a leaving gateway goes on taking connections: callers ask for the
 entries again after two seconds."""
-END_SECONDS = 0.7
+EXIT_RESERVE_SECONDS = 0.7
 """What is left of the grace for the process to end."""
-UPKEEP_SECONDS = 0.25
+MAINTENANCE_INTERVAL_SECONDS = 0.25
 """Pause between rounds of small work that nothing triggers."""
-SHIFT_SECONDS = 0.5
+SHIFT_INTERVAL_SECONDS = 0.5
 """Pause between looks at services that move to another version."""
 BASE_RUNNERS = 1
 """Runners at full price that each scaled service keeps."""
@@ -74,36 +77,36 @@
         listeners: Mapping[Address, socket.socket] | None = None,
     ) -> None:
         self._listeners = listeners or {}
-        self._watch = SettingsWatch(path, self._apply_settings)
-        settings = self._settings = self._watch.settings
+        self._settings_watcher = SettingsWatcher(path, self._apply_settings)
+        settings = self._settings = self._settings_watcher.settings
         # Seeded, so that a played day repeats.
         rng = random.Random(settings.name)
         self._client = Client()
         traffic = Traffic()
         self._metrics = ForwardingMetrics(traffic, self._measure)
-        self.belief = Belief(read_clock)
+        self.view = Belief(read_clock)
         self._store = PlatformStore(self._client, settings.store, traffic)
         wall_clock = make_clock()
         bounds = settings.bounds
         usage = UsageCount(bounds.usage_window, wall_clock)
         self._usage = usage
-        self._front = Front(
-            self.belief,
+        self._forwarder = Forwarder(
+            self.view,
             self._client,
             usage,
             settings.bounds,
             rng,
             self._note,
             Admission(
-                self.belief,
+                self.view,
                 settings.bounds,
                 rng,
                 None if settings.first_start else read_clock(),
             ),
         )
-        self._shared = Shared(
+        self._cluster = Shared(
             settings,
-            self.belief,
+            self.view,
             self,
             self._hear_break,
             lambda fact: self._shifts.learn(fact),
@@ -115,42 +118,42 @@
         self._shifts = Shifts(
             ExposureBounds(bounds.exposure_share, bounds.exposure_slack),
             rng,
-            self._shared.peers.publish,
+            self._cluster.peers.publish,
             wall_clock,
         )
-        self._front.shifts = self._shifts
-        self.belief.on_down.append(self._note_down)
-        self.belief.was_store_away = self._shared.was_store_away
-        self._front.shared = self._shared
+        self._forwarder.shifts = self._shifts
+        self.view.on_down.append(self._note_down)
+        self.view.was_store_away = self._cluster.was_store_away
+        self._forwarder.cluster = self._cluster
         self._bursts = Bursts(
             self._store,
             settings.name,
-            self._front.admission.quotas,
-            self._shared,
-            self.belief.list_workspaces,
+            self._forwarder.admission.quotas,
+            self._cluster,
+            self.view.list_workspaces,
         )
-        self._front.admission.shared = self._shared
-        self._front.admission.on_take = self._bursts.look
+        self._forwarder.admission.cluster = self._cluster
+        self._forwarder.admission.on_quota_charged = self._bursts.look
         self._follower = BeliefFollower(
             self._store,
-            self.belief,
-            self._shared.publish_entry,
-            self._shared.publish_configuration,
-            self._shared.find_pause,
+            self.view,
+            self._cluster.publish_entry,
+            self._cluster.publish_configuration,
+            self._cluster.find_pause,
             self._find_feed_wait,
             self._shifts.take_row,
         )
         self._server = Server(
-            self._front.handle, Limits(), cancel_when_gone=True
+            self._forwarder.handle, Limits(), cancel_when_gone=True
         )
-        self.belief.on_configuration.append(self._apply_limits)
+        self.view.on_configuration.append(self._apply_limits)
         directory = Directory(
-            self._shared.entries,
+            self._cluster.entries,
             self._is_ready,
             settings.bounds.ttl_most,
             rng,
         )
-        self._small_servers = [
+        self._auxiliary_servers = [
             (address, Server(directory.handle))
             for address in (settings.ready, settings.directory)
             if address is not None
@@ -158,25 +161,25 @@
         if metrics_port:
             address = Address(settings.entry.host, metrics_port)
             server = Server(self._metrics.handle)
-            self._small_servers.append((address, server))
+            self._auxiliary_servers.append((address, server))
         self._duties = None
         if settings.cloud is not None:
             self._duties = Duties(
                 settings,
                 self._store,
                 CloudCalls(self._client, settings.cloud),
-                self.belief,
-                self._shared,
+                self.view,
+                self._cluster,
                 wall_clock,
                 base_runners,
             )
             self._store.eras.on_era.append(self._duties.note_era)
         self._store.eras.on_era += [
-            self.belief.note_era,
+            self.view.note_era,
             self._follower.note_era,
-            self._shared.note_era,
+            self._cluster.note_era,
             self._shifts.note_era,
-            self._front.admission.quotas.forget_records,
+            self._forwarder.admission.quotas.forget_records,
         ]
         self._leaving = False
         self._stop = asyncio.Event()
@@ -187,7 +190,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        loop.add_signal_handler(signal.SIGHUP, self._settings_watcher.reload)
         await self.start()
         await self._stop.wait()
         await self.leave()
@@ -196,16 +199,16 @@
         """Listen, and begin to follow the store and the peers."""
         settings = self._settings
         self._spawn(self._follower.run())
-        await self._shared.start()
+        await self._cluster.start()
         await self._serve(self._server, settings.entry)
-        for address, server in self._small_servers:
+        for address, server in self._auxiliary_servers:
             await self._serve(server, address)
-        self._spawn(self._shared.run())
-        self._spawn(self._shared.keep_seeds(self._store))
+        self._spawn(self._cluster.run())
+        self._spawn(self._cluster.keep_seeds(self._store))
         self._spawn(self._bursts.run())
         self._spawn(self._keep_up())
-        self._spawn(self._watch.run())
-        self._spawn(watch_thaw(self._recover))
+        self._spawn(self._settings_watcher.run())
+        self._spawn(watch_for_suspension(self._recover))
         if self._duties is not None:
             self._spawn(self._duties.run())
             self._spawn(
@@ -214,14 +217,14 @@
                     self._store,
                     self._duties.is_held,
                     self._duties.is_contender,
-                    self._shared.reports.all_reports,
-                    SHIFT_SECONDS,
+                    self._cluster.reports.all_reports,
+                    SHIFT_INTERVAL_SECONDS,
                 )
             )
         eliot.log_message(
             message_type="lagoonpost:forwarding:started",
             settings=settings._asdict(),
-            run=self._shared.reports.run_id,
+            run=self._cluster.reports.run_id,
         )
 
     async def _serve(self, server: Server, address: Address) -> None:
@@ -229,14 +232,14 @@
 
     def _apply_settings(self, settings: HostSettings) -> None:
         """Take over what may change; addresses and names stay."""
-        self._front.set_bounds(settings.bounds)
-        self._shared.set_bounds(settings.bounds)
-        self._shared.peers.add_seeds(settings.seeds)
+        self._forwarder.set_bounds(settings.bounds)
+        self._cluster.set_bounds(settings.bounds)
+        self._cluster.peers.add_seeds(settings.seeds)
 
     def _find_feed_wait(self) -> float:
-        contact = self._watch.settings.bounds.contact_seconds
-        wait = find_wait(contact, self._shared.find_pause() or 0.0)
-        if self._shared.find_roles().mesh:
+        contact = self._settings_watcher.settings.bounds.contact_seconds
+        wait = find_wait(contact, self._cluster.find_pause() or 0.0)
+        if self._cluster.find_roles().mesh:
             return wait
         return min(wait, READER_LONG_POLL_SECONDS)
 
@@ -247,40 +250,40 @@
     async def leave(self) -> None:
         """Take no new callers, answer the accepted requests, and stop."""
         self._leaving = True
-        grace = self._watch.settings.bounds.grace_seconds
+        grace = self._settings_watcher.settings.bounds.grace_seconds
         loop = asyncio.get_running_loop()
-        end = loop.time() + grace - END_SECONDS
+        end = loop.time() + grace - EXIT_RESERVE_SECONDS
         eliot.log_message(
             message_type="lagoonpost:forwarding:leaving", grace=grace
         )
         self._server.leave()
         if self._duties is not None:
             self._duties.leave()
-        await self._shared.peers.leave()
+        await self._cluster.peers.leave()
         if self._duties is not None:
             await self._duties.release()
-        await asyncio.sleep(min(LAME_SECONDS, grace / 3))
+        await asyncio.sleep(min(LAME_DUCK_SECONDS, grace / 3))
         await self._server.drain(end - loop.time())
         for task in self._tasks:
             task.cancel()
         await self._server.close(0.0)
         eliot.log_message(message_type="lagoonpost:forwarding:stopped")
 
-    async def abandon(self) -> None:
+    async def abort(self) -> None:
         """End at once, as a crash would."""
         for task in self._tasks:
             task.cancel()
-        for _, server in self._small_servers:
+        for _, server in self._auxiliary_servers:
             await server.close(0.0)
         await self._server.close(0.0)
-        await self._shared.close()
+        await self._cluster.close()
 
     def _note(self, exchange: Exchange) -> None:
         self._metrics.note(exchange)
         log_exchange(exchange)
 
     def _is_ready(self) -> bool:
-        return self.belief.routes is not None and not self._leaving
+        return self.view.routes is not None and not self._leaving
 
     def _apply_limits(self, routes: RouteTable) -> None:
         limits = routes.configuration.limits
@@ -294,7 +297,7 @@
 
     def make_report(self, name: str, run: str) -> GatewayReport:
         """Return the own report's contents."""
-        front = self._front
+        front = self._forwarder
         quotas = front.admission.quotas
         quotas.note_told()
         now = read_clock()
@@ -308,7 +311,7 @@
             prompt_tokens=front.prompt_tokens,
             waiting=self._sum_waiting(),
             pace=front.placement.paces_alone,
-            version=self.belief.version,
+            version=self.view.version,
             versions=self._shifts.report(),
             read_age=self._follower.find_age(),
         )
@@ -317,64 +320,64 @@
         """Take another gateway's new report."""
         now = read_clock()
         sender = f"{report.name}/{report.run}"
-        quotas = self._front.admission.quotas
+        quotas = self._forwarder.admission.quotas
         quotas.hear(sender, report.used, report.recent, now)
         self._bursts.look()
-        if self._shared.find_roles().mesh:
+        if self._cluster.find_roles().mesh:
             return
-        if quotas.is_tight(self.belief.list_workspaces(), now):
-            self._shared.reports.nudge()
+        if quotas.is_tight(self.view.list_workspaces(), now):
+            self._cluster.reports.nudge()
 
     def list_taken(self) -> Taken:
         """Return what all gateways let through."""
-        quotas = self._front.admission.quotas
-        return quotas.list_taken(read_clock(), self.belief.list_workspaces())
+        quotas = self._forwarder.admission.quotas
+        return quotas.list_taken(read_clock(), self.view.list_workspaces())
 
     def hear_taken(self, taken: Taken, since: float) -> None:
         """Take a hub's sums, which hold own use up to a time."""
-        self._front.admission.quotas.hear_all(taken, since, read_clock())
+        self._forwarder.admission.quotas.hear_all(taken, since, read_clock())
 
     def _sum_waiting(self) -> dict[str, int]:
         """Return the prompt tokens under way by service."""
         waiting: dict[str, int] = {}
-        for runner, work in self._front.placement.report().items():
-            entry = self.belief.entries.get(runner)
+        for runner, work in self._forwarder.placement.report().items():
+            entry = self.view.entries.get(runner)
             if entry is not None and entry.endpoint is not None:
                 service = entry.endpoint.service
                 waiting[service] = waiting.get(service, 0) + work.tokens
         return waiting
 
     def _hear_break(self, seen: BrokenAnswer) -> None:
-        self._front.admission.breaks.note(
+        self._forwarder.admission.crashes.note(
             seen, asyncio.get_running_loop().time()
         )
 
     def _hear_recorded(self, workspace: str, age: float) -> None:
-        quotas = self._front.admission.quotas
+        quotas = self._forwarder.admission.quotas
         quotas.note_recorded(workspace, read_clock() - age)
 
     def _note_down(self, runner: str) -> None:
         now = asyncio.get_running_loop().time()
-        self._front.admission.breaks.note_down(runner, now)
+        self._forwarder.admission.crashes.note_down(runner, now)
 
     async def _keep_up(self) -> None:
         while True:
-            await sleep_in_step(UPKEEP_SECONDS)
-            self._front.placement.hear(self._shared.reports.sum_others())
-            self._shared.publish_store_lost(self._follower.lost)
-            for key in self.belief.drop_lapsed():
-                self._shared.publish_entry(key)
-            self._front.placement.forget_missing(
-                key for key in self.belief.entries if self.belief.is_known(key)
+            await sleep_aligned(MAINTENANCE_INTERVAL_SECONDS)
+            self._forwarder.placement.hear(self._cluster.reports.sum_others())
+            self._cluster.publish_store_lost(self._follower.lost)
+            for key in self.view.drop_lapsed():
+                self._cluster.publish_entry(key)
+            self._forwarder.placement.forget_missing(
+                key for key in self.view.entries if self.view.is_known(key)
             )
 
     def _measure(self) -> None:
         metrics = self._metrics
-        metrics.configuration.set(self.belief.version)
+        metrics.configuration.set(self.view.version)
         metrics.store_lost.set(self._follower.lost)
         for table, age in self._follower.list_ages():
             metrics.store_age.labels(table).set(age)
-        metrics.gateways.set(self._shared.count_gateways())
+        metrics.gateways.set(self._cluster.count_gateways())
         held = self._duties is not None and self._duties.is_held()
         metrics.duties_held.set(held)
 
--- a/lagoonpost/forwarding/directory.py
+++ b/lagoonpost/forwarding/directory.py
@@ -12,7 +12,7 @@
 from lagoonpost.http.responder import Responder
 from lagoonpost.platform.headers import READY_PATH, RESOLVE_PATH
 
-MOST_ENTRIES = 64
+MAX_ADDRESSES = 64
 """Addresses in one answer; callers read no more."""
 TTL_SECONDS = 2.0
 """How long callers keep an answer. Some keep it three times as long, so a
@@ -56,8 +56,8 @@
 
     def _answer_entries(self) -> Response:
         entries = list(self._find_entries())
-        if len(entries) > MOST_ENTRIES:
-            entries = self._rng.sample(entries, MOST_ENTRIES)
+        if len(entries) > MAX_ADDRESSES:
+            entries = self._rng.sample(entries, MAX_ADDRESSES)
         value = {
             "addresses": [str(entry) for entry in entries],
             "ttl_s": self._ttl,
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -9,7 +9,7 @@
 
 from lagoonpost.forwarding.belief import Belief
 from lagoonpost.forwarding.shared import Shared
-from lagoonpost.forwarding.step import sleep_in_step
+from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.platform.cloud import CloudCalls, CloudOutcome, Duty
 from lagoonpost.platform.settings import HostSettings
 from lagoonpost.platform.store import PlatformStore
@@ -156,7 +156,7 @@
                     wanted=wanted,
                     contenders=roles.contenders,
                 )
-            await sleep_in_step(LOOK_SECONDS)
+            await sleep_aligned(LOOK_SECONDS)
 
     def _may_contend(self, roles: Roles) -> bool:
         if self.is_held():
@@ -191,7 +191,7 @@
     async def _report_usage(self) -> None:
         bounds = self._settings.bounds
         while True:
-            await sleep_in_step(LOOK_SECONDS)
+            await sleep_aligned(LOOK_SECONDS)
             if not self.is_held():
                 continue
             due = find_due(
@@ -246,7 +246,7 @@
 
     async def _order_runners(self) -> None:
         while True:
-            await sleep_in_step(LOOK_SECONDS)
+            await sleep_aligned(LOOK_SECONDS)
             self._measure()
             if not self.is_held():
                 continue
--- a/lagoonpost/forwarding/exchange.py
+++ b/lagoonpost/forwarding/exchange.py
@@ -20,11 +20,11 @@
 from lagoonpost.tables.forwarded import Arrival
 from lagoonpost.tables.quota import Weighed
 
-DEFAULT_SECONDS = 60.0
+DEFAULT_TIMEOUT_SECONDS = 60.0
 """Longest wait for a request that names no deadline on any side."""
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 """The lowest rank that runners know."""
-RETURN_SECONDS = 0.4
+RETRY_AFTER_SECONDS = 0.4
 """When to come back after runners were full: a few of their answers later."""
 
 
@@ -60,13 +60,13 @@
         self.started = clock()
         self.route: Route | None = None
         self.workspace: Workspace | None = None
-        self.wanted = Wanted("", 0, (), False)
+        self.requirements = Wanted("", 0, (), False)
         self.units = 0.0
         self.quota: Weighed | None = None
         self.version = 0
-        self.tried: set[str] = set()
-        self.arrivals = 0
-        self.runs = 0
+        self.tried_runners: set[str] = set()
+        self.reached_count = 0
+        self.run_count = 0
         self.last_event = arrival.last_event
         self.outcome = ""
         self.status = 0
@@ -76,7 +76,7 @@
         self._sending = False
         self.fingerprint = ""
         self.last_refusal: Refusal | None = None
-        self.kept: Response | None = None
+        self.fallback_response: Response | None = None
         self.first_byte: float | None = None
         self._began = False
 
@@ -85,7 +85,7 @@
     def set_service(self, name: str, service: Service | None) -> None:
         """Say which service it goes to."""
         tokens = self.arrival.tokens
-        self.wanted = Wanted(
+        self.requirements = Wanted(
             service=name,
             prompt=tokens.prompt if tokens else 0,
             parts=self.arrival.parts,
@@ -95,14 +95,14 @@
     @property
     def deadline(self) -> float:
         """Time at which it gets its final answer, whatever it is."""
-        timeout = self.route.timeout if self.route else DEFAULT_SECONDS
+        timeout = self.route.timeout if self.route else DEFAULT_TIMEOUT_SECONDS
         left = self.arrival.left
         return self.started + (timeout if left is None else min(left, timeout))
 
     @property
     def target(self) -> float:
         """Seconds within which its first byte is good."""
-        return self.route.target if self.route else DEFAULT_SECONDS
+        return self.route.target if self.route else DEFAULT_TIMEOUT_SECONDS
 
     @property
     def idempotent(self) -> bool:
@@ -119,12 +119,12 @@
     @property
     def urgency(self) -> int | None:
         """Rank that a model runner gives to it; None at plain services."""
-        if not self.wanted.engine:
+        if not self.requirements.engine:
             return None
-        return min(LEAST_URGENT, self.priority)
+        return min(LOWEST_PRIORITY, self.priority)
 
     @property
-    def surely_not_run(self) -> bool:
+    def known_not_run(self) -> bool:
         """Whether no runner can have begun it.
 
         An offer that ends in its middle, as its time is over, may have
@@ -141,7 +141,7 @@
 
     def note_sent(self, choice: Choice) -> None:
         """Count an offer to a runner."""
-        self.tried.add(choice.endpoint.id)
+        self.tried_runners.add(choice.endpoint.id)
         self._sending = True
 
     def note_outcome(self, choice: Choice, outcome: Outcome) -> None:
@@ -154,41 +154,41 @@
             case Unreachable(detail):
                 self.last_refusal = self._refuse("unreachable", detail)
             case NotRun():
-                self.arrivals += 1
+                self.reached_count += 1
                 self.last_refusal = self._refuse(
                     "runners_full", "the runners of the service are full"
                 )
             case Broken() | Silent():
-                self.arrivals += 1
-                self.runs += 1
+                self.reached_count += 1
+                self.run_count += 1
                 self.may_have_run = True
                 self.last_refusal = ANSWER_LOST
             case Whole() | Began() | Moved():
-                self.arrivals += 1
-                self.runs += 1
+                self.reached_count += 1
+                self.run_count += 1
                 self.may_have_run = True
 
     def _refuse(self, reason: str, detail: str) -> Refusal:
         # Once a runner may have run it, no refusal may say that it did not.
         if self.may_have_run:
             return ANSWER_LOST
-        return Refusal(503, reason, detail, retry_after=RETURN_SECONDS)
+        return Refusal(503, reason, detail, retry_after=RETRY_AFTER_SECONDS)
 
-    def may_send_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Tell whether another runner may be asked."""
         if not self.may_have_run:
             return True
         if not self.idempotent or self.route is None:
             return False
-        return self.runs < self.route.max_attempts
+        return self.run_count < self.route.max_attempts
 
-    def may_repeat_failure(self, status: int) -> bool:
+    def may_retry_failure(self, status: int) -> bool:
         """Tell whether a runner's failure is tried again elsewhere."""
         if status < 500 or self.route is None or not self.idempotent:
             return False
-        return self.runs + 1 < self.route.max_attempts
+        return self.run_count + 1 < self.route.max_attempts
 
-    def take_event(self, event: RawEvent) -> bool:
+    def accept_event(self, event: RawEvent) -> bool:
         """Note an event that is to be passed on; False if it was before."""
         if event.id:
             if _is_before(event.id, self.last_event):
--- a/lagoonpost/forwarding/follow.py
+++ b/lagoonpost/forwarding/follow.py
@@ -6,7 +6,7 @@
 import eliot
 
 from lagoonpost.forwarding.belief import Belief
-from lagoonpost.forwarding.step import sleep_in_step
+from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.platform.store import (
     CONFIGURATION_KEY,
     CONFIGURATION_TABLE,
@@ -141,7 +141,7 @@
             if self._may_rest():
                 # What changes meanwhile is not in a feed from here on.
                 self._version = None
-                await sleep_in_step(REST_SECONDS)
+                await sleep_aligned(REST_SECONDS)
                 continue
             answer = await self._ask_or_restart()
             if isinstance(answer, Unavailable):
@@ -181,7 +181,7 @@
         for _ in range(LOST_LOOKS):
             if not self._read_once or self._find_pause() is not None:
                 return
-            await sleep_in_step(REST_SECONDS)
+            await sleep_aligned(REST_SECONDS)
 
     async def _ask_or_restart(self) -> Answer:
         self._asked_at = asyncio.get_running_loop().time()
--- a/lagoonpost/forwarding/front.py
+++ b/lagoonpost/forwarding/forwarder.py
@@ -46,20 +46,20 @@
 from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.tables.saved_run import SavedRun
 
-MOST_SENDS = 4
+MAX_RUNNERS_PER_REQUEST = 4
 """Runners that one request is offered to, those that did not run it
 included: each costs the caller a round trip or a connection's time-out."""
-LOAD_SECONDS = 0.4
+CONFIGURATION_WAIT_SECONDS = 0.4
 """How long after the first request of a start callers wait for the first
 configuration: it mostly comes some hundredths of a second later."""
-FIRST_SILENCE_SECONDS = 1.0
+MIN_FIRST_BYTE_TIMEOUT_SECONDS = 1.0
 """Least wait for the first byte before another runner is tried."""
-WAITED_SHARE = 0.5
+FIRST_BYTE_TIMEOUT_SHARE = 0.5
 """Most of the time left that one silent runner gets: callers of checks wait
 for a second in all, and another runner needs some of it."""
 
 
-class Front:
+class Forwarder:
     """Handles callers' requests.
 
     Args:
@@ -90,7 +90,7 @@
         self._rng = rng
         self._log = log
         self.admission = admission
-        self.shared: Shared
+        self.cluster: Shared
         self.shifts: Shifts
         self.placement = Placement()
         self.migrations = Migrations(
@@ -135,7 +135,7 @@
     async def _wait_loaded(self, now: float) -> None:
         """Wait for the first configuration, for some time from the start."""
         if self._loaded_by is None:
-            self._loaded_by = now + LOAD_SECONDS
+            self._loaded_by = now + CONFIGURATION_WAIT_SECONDS
         try:
             async with asyncio.timeout_at(self._loaded_by):
                 await self._belief.loaded.wait()
@@ -148,7 +148,7 @@
         self, exchange: Exchange, responder: Responder
     ) -> Refusal | None:
         """Offer the request to runners until one answers."""
-        budget = self._budget(exchange.wanted.service)
+        budget = self._budget(exchange.requirements.service)
         budget.note_request(exchange.now())
         try:
             async with asyncio.timeout_at(exchange.deadline):
@@ -156,7 +156,7 @@
         except TimeoutError:
             exchange.note("timeout")
             exchange.last_refusal = (
-                NOT_SENT if exchange.surely_not_run else TOO_LATE
+                NOT_SENT if exchange.known_not_run else TOO_LATE
             )
             return await self._give_up(exchange, responder)
         finally:
@@ -172,10 +172,10 @@
                 return await self._give_up(exchange, responder)
             # A move has taken its repeat before it stopped the run.
             if (
-                exchange.arrivals
+                exchange.reached_count
                 and not moved
                 and not budget.take(
-                    self.shared.count_gateways(), exchange.now()
+                    self.cluster.count_gateways(), exchange.now()
                 )
             ):
                 exchange.note("no_budget")
@@ -189,10 +189,10 @@
             self._judge(exchange, choice, outcome)
             if responder.finished or exchange.outcome == "answered":
                 return None
-            poison = self.admission.breaks.is_poison(
+            poison = self.admission.crashes.is_poison(
                 exchange.fingerprint, exchange.now()
             )
-            if poison or not exchange.may_send_again():
+            if poison or not exchange.may_retry():
                 return await self._give_up(exchange, responder)
 
     def _judge(
@@ -201,15 +201,15 @@
         """Note what speaks for and against a request that crashes runners."""
         runner = choice.endpoint.id
         if isinstance(outcome, Whole | Began):
-            self.admission.breaks.note_answered(exchange.fingerprint)
+            self.admission.crashes.note_answered(exchange.fingerprint)
         elif isinstance(outcome, Unreachable):
-            self.admission.breaks.note_down(runner, exchange.now())
+            self.admission.crashes.note_down(runner, exchange.now())
         elif isinstance(outcome, Broken):
             seen = BrokenAnswer(
                 exchange.fingerprint, runner, exchange.arrival.id
             )
-            self.admission.breaks.note(seen, exchange.now())
-            self.shared.publish_break(seen)
+            self.admission.crashes.note(seen, exchange.now())
+            self.cluster.publish_break(seen)
 
     async def _give_up(
         self, exchange: Exchange, responder: Responder
@@ -222,34 +222,36 @@
             return None
         # A runner's own failure says more than that its answer was lost,
         # and that nobody took the request would not be true.
-        if exchange.kept is not None:
-            await self._pass_back(exchange, exchange.kept, responder)
+        if exchange.fallback_response is not None:
+            await self._pass_back(
+                exchange, exchange.fallback_response, responder
+            )
             return None
         if exchange.last_refusal is not None:
             return exchange.last_refusal
-        return NO_RUNNER if exchange.surely_not_run else ANSWER_LOST
+        return NO_RUNNER if exchange.known_not_run else ANSWER_LOST
 
     def _choose(
         self, exchange: Exchange, moved: Moved | None
     ) -> Choice | None:
         if moved is not None:
             return Choice(moved.target, 0.0, 1, suspect=False)
-        if len(exchange.tried) >= MOST_SENDS:
+        if len(exchange.tried_runners) >= MAX_RUNNERS_PER_REQUEST:
             return None
-        service = exchange.wanted.service
+        service = exchange.requirements.service
         runners = [
             each
             for each in self._belief.find_runners(service)
-            if each.id not in exchange.tried
+            if each.id not in exchange.tried_runners
         ]
         leaving = [
             each for each in self._belief.find_all(service) if each.leaving
         ]
         group = self.shifts.choose_group(
-            service, runners, self.shared.count_gateways()
+            service, runners, self.cluster.count_gateways()
         )
         return self.placement.choose(
-            group, exchange.wanted, exchange.now(), self._rng, leaving
+            group, exchange.requirements, exchange.now(), self._rng, leaving
         )
 
     async def _send(
@@ -262,7 +264,7 @@
         exchange.note_sent(choice)
         self.shifts.note_sent(choice.endpoint)
         placement = self.placement
-        wanted = exchange.wanted
+        wanted = exchange.requirements
         placement.note_sent(choice, wanted, exchange.now())
         sent = exchange.now()
         began = False
@@ -312,10 +314,12 @@
         if not exchange.idempotent:
             return None
         usual = max(
-            FIRST_SILENCE_SECONDS, 2 * exchange.target, 4 * choice.seconds
+            MIN_FIRST_BYTE_TIMEOUT_SECONDS,
+            2 * exchange.target,
+            4 * choice.seconds,
         )
         left = exchange.deadline - exchange.now()
-        return min(usual, WAITED_SHARE * left)
+        return min(usual, FIRST_BYTE_TIMEOUT_SHARE * left)
 
     def _learn(
         self,
@@ -348,14 +352,16 @@
                 slow=took > exchange.target,
             )
         if isinstance(outcome, Whole | Began):
-            self.placement.note_first_byte(choice, exchange.wanted, took, now)
+            self.placement.note_first_byte(
+                choice, exchange.requirements, took, now
+            )
             if exchange.note_began() and exchange.workspace is not None:
                 self._usage.note_begun(exchange.workspace.name)
             if isinstance(outcome, Began):
                 self._count_prompt(exchange, choice)
 
     def _count_prompt(self, exchange: Exchange, choice: Choice) -> None:
-        service = exchange.wanted.service
+        service = exchange.requirements.service
         before = self.prompt_tokens.get(service, 0)
         self.prompt_tokens[service] = before + choice.unread
 
@@ -365,8 +371,8 @@
         self, exchange: Exchange, outcome: Whole, responder: Responder
     ) -> None:
         response = outcome.response
-        if exchange.may_repeat_failure(response.status):
-            exchange.kept = response
+        if exchange.may_retry_failure(response.status):
+            exchange.fallback_response = response
             return
         await self._pass_back(exchange, response, responder)
 
@@ -379,7 +385,7 @@
 
     def _take_repeat(self, service: str) -> bool:
         now = asyncio.get_running_loop().time()
-        return self._budget(service).take(self.shared.count_gateways(), now)
+        return self._budget(service).take(self.cluster.count_gateways(), now)
 
     def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
--- a/lagoonpost/forwarding/log.py
+++ b/lagoonpost/forwarding/log.py
@@ -8,7 +8,7 @@
 
 import eliot
 
-MOST_LINES = 2000
+MAX_BUFFERED_LINES = 2000
 """Lines that wait for a reader who is slow; more are counted and dropped."""
 
 
@@ -32,7 +32,7 @@
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Take one message."""
-        if len(self._lines) >= MOST_LINES:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self._dropped += 1
             return
         for noise in ("task_uuid", "task_level"):
--- a/lagoonpost/forwarding/metrics.py
+++ b/lagoonpost/forwarding/metrics.py
@@ -19,7 +19,19 @@
 from lagoonpost.tables.traffic import Traffic
 
 METRICS_PATH = "/metrics"
-SECONDS = (0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0, 15.0)
+LATENCY_BUCKETS_SECONDS = (
+    0.01,
+    0.03,
+    0.1,
+    0.2,
+    0.4,
+    0.8,
+    1.2,
+    2.0,
+    4.0,
+    8.0,
+    15.0,
+)
 """Bounds of the histograms: from a check alone to the longest draft."""
 
 
@@ -77,14 +89,14 @@
             "lagoonpost_first_byte_seconds",
             "Time from a request's arrival to its first byte.",
             ("route",),
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=registry,
         )
         self._whole = Histogram(
             "lagoonpost_whole_seconds",
             "Time from a request's arrival to its end.",
             ("route",),
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=registry,
         )
         self.configuration = Gauge(
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -20,16 +20,16 @@
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.saved_run import Copied, NoRoom, SavedRun
 
-FORGET_SECONDS = 30.0
+DEPARTURE_RETENTION_SECONDS = 30.0
 """How long it is remembered that a runner was about to go."""
-MOST_TARGETS = 2
+MAX_TARGETS = 2
 """Runners that a run is offered to: a notice leaves no time for more."""
-CLOSE_SECONDS = 0.2
+CLOSE_DELAY_SECONDS = 0.2
 """Time in which a stopped run's stream is closed by its runner; what is on the
 way by then has come, and a connection gone silent must not hold the rest."""
 
 
-class Run:
+class StreamRun:
     """One stream at one runner.
 
     Attributes:
@@ -79,24 +79,24 @@
         self._take_repeat = take_repeat
         self._find_drain = find_drain
         self._rng = rng
-        self._runs: dict[str, set[Run]] = {}
+        self._runs: dict[str, set[StreamRun]] = {}
         self._gone: dict[str, float] = {}
         self._coming: Counter[str] = Counter()
         self._freeing: set[asyncio.Task[None]] = set()
         belief.on_leaving.append(self._note_leaving)
 
-    def begin(
+    def track_run(
         self, exchange: Exchange, choice: Choice, close: Callable[[], None]
-    ) -> Run:
+    ) -> StreamRun:
         """Take a stream that has begun into account."""
-        run = Run(exchange, choice, close)
+        run = StreamRun(exchange, choice, close)
         runner = choice.endpoint.id
         self._runs.setdefault(runner, set()).add(run)
         if runner in self._gone and not self._has_come_back(runner):
             self._schedule(run)
         return run
 
-    async def settle(self, run: Run) -> bool:
+    async def wait_for_move(self, run: StreamRun) -> bool:
         """Tell whether a stream that came to its end was moved.
 
         The answer to the call that stops the run may come after the end of
@@ -106,7 +106,7 @@
             await asyncio.wait({run.task})
         return run.target is not None
 
-    def end(self, run: Run) -> None:
+    def end_run(self, run: StreamRun) -> None:
         """Forget a stream, and free what nobody goes on from."""
         runner = run.choice.endpoint.id
         runs = self._runs.get(runner, set())
@@ -138,26 +138,26 @@
         self._gone = {
             key: gone
             for key, gone in self._gone.items()
-            if gone > now - FORGET_SECONDS
+            if gone > now - DEPARTURE_RETENTION_SECONDS
         }
         self._gone[runner] = now + left
         for run in self._runs.get(runner, ()):
             self._schedule(run)
 
-    def _schedule(self, run: Run) -> None:
+    def _schedule(self, run: StreamRun) -> None:
         exchange = run.exchange
-        prompt = exchange.wanted.prompt
+        prompt = exchange.requirements.prompt
         if run.task is None and is_worth_migrating(
             exchange.idempotent, prompt
         ):
             run.task = asyncio.create_task(self._move(run))
 
-    async def _move(self, run: Run) -> None:
+    async def _move(self, run: StreamRun) -> None:
         loop = asyncio.get_running_loop()
         gone = self._gone[run.choice.endpoint.id]
         await asyncio.sleep(compute_migration_delay(gone, loop.time()))
         outcome = "no_target"
-        for _ in range(MOST_TARGETS):
+        for _ in range(MAX_TARGETS):
             target = self._choose(run)
             if target is None:
                 break
@@ -177,17 +177,19 @@
             outcome=outcome,
         )
 
-    def _choose(self, run: Run) -> Endpoint | None:
+    def _choose(self, run: StreamRun) -> Endpoint | None:
         now = asyncio.get_running_loop().time()
         places = []
-        for each in self._belief.find_runners(run.exchange.wanted.service):
+        for each in self._belief.find_runners(
+            run.exchange.requirements.service
+        ):
             state = self._placement.state(each.id)
             running = state.requests + state.others.requests
             running += self._coming[each.id]
             places.append(Candidate(each, running, state.is_suspect(now)))
         return choose_target(places, run.choice.endpoint, self._rng)
 
-    async def _move_to(self, run: Run, target: Endpoint) -> str:
+    async def _move_to(self, run: StreamRun, target: Endpoint) -> str:
         """Copy while the run goes on, then stop it and copy the rest.
 
         The first copy may wait for others on the same links; the second has
@@ -201,7 +203,7 @@
         if not isinstance(first, Copied):
             return type(first).__name__.lower()
         run.saved = first.saved
-        if not self._take_repeat(run.exchange.wanted.service):
+        if not self._take_repeat(run.exchange.requirements.service):
             return "no_budget"
         run.stopping = True
         last = await self._memory.copy(
@@ -211,5 +213,5 @@
             return type(last).__name__.lower()
         run.saved = last.saved
         run.target = target
-        asyncio.get_running_loop().call_later(CLOSE_SECONDS, run.close)
+        asyncio.get_running_loop().call_later(CLOSE_DELAY_SECONDS, run.close)
         return "moved"
--- a/lagoonpost/forwarding/relay.py
+++ b/lagoonpost/forwarding/relay.py
@@ -15,7 +15,7 @@
 from lagoonpost.platform.headers import make_returned
 from lagoonpost.systems.placement import Choice
 
-SILENCE_SECONDS = 1.2
+STREAM_IDLE_TIMEOUT_SECONDS = 1.2
 """Pause in a stream after which its runner is taken to be lost, four times
 the longest that counts as good; callers give up after two seconds and more."""
 
@@ -40,10 +40,10 @@
         ``began`` if the stream was passed on to its end, else how it ended.
     """
     call = began.call
-    run = migrations.begin(exchange, choice, call.close)
+    run = migrations.track_run(exchange, choice, call.close)
     try:
         outcome = await _pass_all(exchange, began, responder)
-        if await migrations.settle(run):
+        if await migrations.wait_for_move(run):
             assert run.target is not None and run.saved is not None
             return Moved(run.target, run.saved)
         if isinstance(outcome, Began):
@@ -52,7 +52,7 @@
             exchange.note_answered(call.status)
         return outcome
     finally:
-        migrations.end(run)
+        migrations.end_run(run)
         call.close()
 
 
@@ -61,7 +61,7 @@
 ) -> Began | Broken | Silent:
     call = began.call
     cutter = EventCutter()
-    patience = SILENCE_SECONDS if exchange.idempotent else None
+    patience = STREAM_IDLE_TIMEOUT_SECONDS if exchange.idempotent else None
     data: bytes | Broken | Silent = began.first
     while isinstance(data, bytes) and data:
         await _pass_on(exchange, call, cutter.feed(data), responder)
@@ -79,7 +79,7 @@
     events: list[RawEvent],
     responder: Responder,
 ) -> None:
-    fresh = [event for event in events if exchange.take_event(event)]
+    fresh = [event for event in events if exchange.accept_event(event)]
     if not fresh:
         return
     if not responder.started:
--- a/lagoonpost/forwarding/request_line.py
+++ b/lagoonpost/forwarding/request_log.py
@@ -14,7 +14,7 @@
         route=route.name if route else "",
         workspace=exchange.workspace.name if exchange.workspace else "",
         version=exchange.version,
-        prompt=exchange.wanted.prompt,
+        prompt=exchange.requirements.prompt,
         units=exchange.units,
         quota=[round(each) for each in exchange.quota or ()],
         outcome=exchange.outcome,
--- a/lagoonpost/forwarding/shifts.py
+++ b/lagoonpost/forwarding/shifts.py
@@ -7,7 +7,7 @@
 import eliot
 import msgspec
 
-from lagoonpost.forwarding.step import sleep_in_step
+from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.platform.configuration import UnreadableError
 from lagoonpost.platform.rollout import (
     ORDER_PREFIX,
@@ -381,7 +381,7 @@
         pause: Seconds between two looks.
     """
     while True:
-        await sleep_in_step(pause)
+        await sleep_aligned(pause)
         if may_advance():
             await shifts.advance(find_reports(), store, may_advance)
             continue
--- a/lagoonpost/forwarding/step.py
+++ b/lagoonpost/forwarding/timers.py
@@ -3,17 +3,17 @@
 import asyncio
 import math
 
-STEP_SECONDS = 0.25
+WAKEUP_INTERVAL_SECONDS = 0.25
 """Pause between two wake-ups. A gateway has a dozen such works; each waking
 it by itself took most of what an idle one takes."""
 
 
-async def sleep_in_step(seconds: float) -> None:
+async def sleep_aligned(seconds: float) -> None:
     """Sleep to the common wake-up nearest to some seconds from now."""
     now = asyncio.get_running_loop().time()
-    soonest = math.floor(now / STEP_SECONDS) + 1
-    step = max(soonest, round((now + seconds) / STEP_SECONDS))
-    await _sleep_until(step * STEP_SECONDS)
+    soonest = math.floor(now / WAKEUP_INTERVAL_SECONDS) + 1
+    step = max(soonest, round((now + seconds) / WAKEUP_INTERVAL_SECONDS))
+    await _sleep_until(step * WAKEUP_INTERVAL_SECONDS)
 
 
 async def _sleep_until(when: float) -> None:
--- a/lagoonpost/forwarding/upkeep.py
+++ b/lagoonpost/forwarding/watchers.py
@@ -5,7 +5,7 @@
 
 import eliot
 
-from lagoonpost.forwarding.step import sleep_in_step
+from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.platform.settings import (
     HostSettings,
     SettingsError,
@@ -14,17 +14,17 @@
 )
 from lagoonpost.store.clock import read_clock
 
-SETTINGS_SECONDS = 1.0
+SETTINGS_POLL_SECONDS = 1.0
 """Pause between looks at the settings file: it has to be in force within two
 seconds, with or without a signal."""
-THAW_SECONDS = 0.3
+MIN_SUSPENSION_SECONDS = 0.3
 """Suspension from which news may have been missed: shorter ones are as long
 as a report's way."""
-LOOK_SECONDS = 0.25
+CLOCK_POLL_SECONDS = 0.25
 """Pause between looks at the clocks."""
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Reads the settings file again when it changed.
 
     Args:
@@ -76,12 +76,12 @@
     async def run(self) -> None:
         """Look for changes that no signal tells of, until cancelled."""
         while True:
-            await sleep_in_step(SETTINGS_SECONDS)
+            await sleep_aligned(SETTINGS_POLL_SECONDS)
             if read_change_time(self._path) != self._read_at:
                 self.reload()
 
 
-async def watch_thaw(on_thaw: Callable[[], None]) -> None:
+async def watch_for_suspension(on_thaw: Callable[[], None]) -> None:
     """Tell when this host stood still, until cancelled.
 
     What changed meanwhile was not seen, and connections may have gone
@@ -90,9 +90,9 @@
     """
     ahead = read_clock() - time.monotonic()
     while True:
-        await sleep_in_step(LOOK_SECONDS)
+        await sleep_aligned(CLOCK_POLL_SECONDS)
         before, ahead = ahead, read_clock() - time.monotonic()
-        if ahead - before > THAW_SECONDS:
+        if ahead - before > MIN_SUSPENSION_SECONDS:
             eliot.log_message(
                 message_type="lagoonpost:forwarding:thawed",
                 seconds=round(ahead - before, 3),
--- a/test/forwarding_stack.py
+++ b/test/forwarding_stack.py
@@ -139,7 +139,7 @@
         self.gateways.append(daemon)
         self.entries.append(addresses.entry)
         self.directories.append(addresses.directory)
-        self._exit.push_async_callback(daemon.abandon)
+        self._exit.push_async_callback(daemon.abort)
         return daemon
 
     async def wait_ready(self) -> None:
@@ -148,10 +148,10 @@
             await wait_until(lambda d=daemon: self._is_ready(d))
 
     def _is_ready(self, daemon: ForwardingDaemon) -> bool:
-        known = [key for key in self.runners if daemon.belief.is_known(key)]
-        peers = len(daemon._shared.peers.members())
+        known = [key for key in self.runners if daemon.view.is_known(key)]
+        peers = len(daemon._cluster.peers.members())
         return (
-            daemon.belief.version > 0
+            daemon.view.version > 0
             and len(known) == len(self.runners)
             and peers == len(self.gateways)
         )
--- a/test/test_duties.py
+++ b/test/test_duties.py
@@ -63,7 +63,7 @@
             await stack.call("/check/1", gateway=other)
             window = int(time.time())
             await wait_until(lambda: window in stack.cloud.usage)
-            await stack.gateways[first].abandon()
+            await stack.gateways[first].abort()
             stack.cloud.lose_answers = False
             await wait_until(lambda: find_holders(stack) == [other])
             calls = len(stack.cloud.calls)
@@ -87,7 +87,7 @@
             await stack.call("/check/1", gateway=other)
             window = int(time.time())
             await wait_until(lambda: window in stack.cloud.usage)
-            await stack.gateways[first].abandon()
+            await stack.gateways[first].abort()
             # A count that was not heard before the report was made.
             stack.gateways[other]._usage.begun[window]["pottery"] = 7
             await stack.store.go_back(60.0)
--- a/test/test_explain.py
+++ b/test/test_explain.py
@@ -135,7 +135,7 @@
     def test_all_runners_had_left(self, log):
         async def story(stack: Stack):
             await stack.register("desk-1", state="draining")
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: not belief.find_runners("desk"))
             await ask(stack, "/check/1")
 
@@ -168,7 +168,7 @@
             await stack.store.put(
                 "op", "config", make_configuration(2, tenants=tenants)
             )
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: belief.version == 2)
             await ask(stack, "/check/1")
 
@@ -230,7 +230,7 @@
         async def story(stack: Stack):
             await stack.store.put("op", "config", make_configuration(2))
             for daemon in stack.gateways:
-                belief = daemon.belief
+                belief = daemon.view
                 await wait_until(lambda b=belief: b.version == 2)
             stack.store.outage = "reset"
             await stack.store.delete("servers", "none")
@@ -253,7 +253,7 @@
             await wait_until(lambda: daemon._follower.endpoints.lost)
             await stack.store.delete("servers", "desk-1")
             stack.store.outage = "none"
-            await wait_until(lambda: not daemon.belief.is_known("desk-1"))
+            await wait_until(lambda: not daemon.view.is_known("desk-1"))
             return {table for table, _ in daemon._follower.list_ages()}
 
         assert play(story) == {"operator", "endpoints"}
--- a/test/test_follow.py
+++ b/test/test_follow.py
@@ -10,7 +10,7 @@
 from played_store import PlayedClient
 
 from lagoonpost.forwarding.belief import Belief
-from lagoonpost.forwarding.daemon import UPKEEP_SECONDS
+from lagoonpost.forwarding.daemon import MAINTENANCE_INTERVAL_SECONDS
 from lagoonpost.forwarding.follow import (
     LEAST_WAIT_SECONDS,
     LONGEST_WAIT_SECONDS,
@@ -90,7 +90,7 @@
 
 async def keep_up(belief: Belief) -> None:
     while True:
-        await asyncio.sleep(UPKEEP_SECONDS)
+        await asyncio.sleep(MAINTENANCE_INTERVAL_SECONDS)
         belief.drop_lapsed()
 
 
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -133,7 +133,7 @@
         """Guards against refusing callers who connect as a gateway starts."""
 
         async def story(stack: Stack):
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             routes, belief.routes = belief.routes, None
             belief.loaded.clear()
             call = asyncio.create_task(stack.call("/check/1"))
@@ -152,7 +152,7 @@
         """
 
         async def story(stack: Stack):
-            stack.gateways[0].belief.routes = None
+            stack.gateways[0].view.routes = None
             return await stack.call("/check/1")
 
         answer = play(story)
@@ -298,7 +298,7 @@
                 for id_ in ("desk-1", "desk-2"):
                     await stack.register(id_, born=2000 + born)
                 version = stack.store.version
-                belief = stack.gateways[0].belief
+                belief = stack.gateways[0].view
                 await wait_until(
                     lambda v=version, b=belief: (
                         b.entries["desk-2"].version >= v
--- a/test/test_migration.py
+++ b/test/test_migration.py
@@ -156,7 +156,7 @@
 
         async def story(stack: Stack):
             slow_down(stack)
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await stack.store.delete("servers", "chat-1")
             await wait_until(lambda: not belief.is_known("chat-1"))
             await stack.register("chat-1", born=2000)
--- a/test/test_news.py
+++ b/test/test_news.py
@@ -20,7 +20,7 @@
     def test_a_leaving_runner_gets_no_new_requests(self):
         async def story(stack: Stack):
             await stack.register("desk-1", state="draining")
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: len(belief.find_runners("desk")) == 1)
             for _ in range(8):
                 await stack.call("/check/1")
@@ -41,7 +41,7 @@
             configuration = make_configuration(2, tenants=[])
             await stack.store.put("op", "config", configuration)
             await stack.register("desk-1", state="draining")
-            belief = stack.gateways[1].belief
+            belief = stack.gateways[1].view
             await wait_until(lambda: belief.version == 2)
             await wait_until(lambda: len(belief.find_runners("desk")) == 1)
 
@@ -50,7 +50,7 @@
     def test_an_older_configuration_never_returns(self):
         async def story(stack: Stack):
             await stack.store.put("op", "config", make_configuration(5))
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: belief.version == 5)
             await stack.store.put("op", "config", make_configuration(4))
             await stack.store.put("op", "config", make_configuration(6))
@@ -65,7 +65,7 @@
             await stack.store.put("servers", "odd-2", {"service": "desk"})
             await stack.register("desk-1", slots="many")
             await stack.register("desk-2", state="dancing")
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: not belief.find_runners("desk"))
             await stack.register("desk-1")
             await wait_until(lambda: bool(belief.find_runners("desk")))
@@ -81,7 +81,7 @@
             await stack.store.delete("servers", "desk-1")
             stack.store.forget_history()
             stack.store.outage = "none"
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: belief.version == 7)
             await wait_until(lambda: not belief.is_known("desk-1"))
 
@@ -100,7 +100,7 @@
             await stack.store.put("op", "config", make_configuration(9))
             stack.store.outage = "none"
             daemon._follower.restart()
-            await wait_until(lambda: daemon.belief.version == 9)
+            await wait_until(lambda: daemon.view.version == 9)
 
         play(story)
 
@@ -110,13 +110,15 @@
             path = stack.folder / "gateway-1.toml"
             good = path.read_text()
             path.write_text("not toml")
-            daemon._watch.reload()
-            kept = daemon._watch.settings.bounds
+            daemon._settings_watcher.reload()
+            kept = daemon._settings_watcher.settings.bounds
             path.write_text(good.replace("[bounds]", "[bounds]\ngrace_s = 3"))
-            await wait_until(lambda: daemon._watch.settings.bounds != kept)
+            await wait_until(
+                lambda: daemon._settings_watcher.settings.bounds != kept
+            )
             return (
                 kept.grace_seconds,
-                daemon._watch.settings.bounds.grace_seconds,
+                daemon._settings_watcher.settings.bounds.grace_seconds,
             )
 
         assert play(story) == (8.0, 3.0)
@@ -129,7 +131,7 @@
         """
 
         async def story(stack: Stack):
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             lost = stack.gateways[0]._follower.endpoints
             stack.store.outage = "reset"
             await stack.store.delete("servers", "none")
@@ -163,9 +165,9 @@
             daemon._store._address = there
             await wait_until(lambda: not lost.lost)
             # Only what is taken at once counts here.
-            daemon.belief.drop_lapsed = list
+            daemon.view.drop_lapsed = list
             await stack.store.delete("servers", "desk-1")
-            await wait_until(lambda: not daemon.belief.is_known("desk-1"))
+            await wait_until(lambda: not daemon.view.is_known("desk-1"))
 
         play(story, gateways=3)
 
@@ -181,7 +183,7 @@
         waits: list[float] = []
 
         async def story(stack: Stack):
-            shared = stack.gateways[0]._shared
+            shared = stack.gateways[0]._cluster
 
             async def ask_silent(peer, kind, after, timeout):
                 waits.append(timeout)
@@ -190,7 +192,7 @@
             shared.peers.fetch = ask_silent
             shared._wanted_version = 2
             shared._wanted.set()
-            await wait_until(lambda: stack.gateways[0].belief.version == 2)
+            await wait_until(lambda: stack.gateways[0].view.version == 2)
 
         play(story, gateways=2)
         apply_seconds = 2.0
@@ -211,7 +213,7 @@
                 await stack.add_gateway()
             await wait_until(
                 lambda: all(
-                    len(each._shared.peers.members()) == 4
+                    len(each._cluster.peers.members()) == 4
                     for each in stack.gateways
                 )
             )
@@ -234,10 +236,10 @@
         monkeypatch.setattr(hub, "BACKUP_READERS_PER_DOMAIN", 1)
 
     def find_readers(self, stack: Stack) -> list[ForwardingDaemon]:
-        return [each for each in stack.gateways if each._shared.is_reader()]
+        return [each for each in stack.gateways if each._cluster.is_reader()]
 
     def find_others(self, stack: Stack) -> list[ForwardingDaemon]:
-        return [d for d in stack.gateways if not d._shared.is_reader()]
+        return [d for d in stack.gateways if not d._cluster.is_reader()]
 
     async def wait_resting(self, stack: Stack) -> list[ForwardingDaemon]:
         """Return the others once they no longer read the store.
@@ -263,7 +265,7 @@
             await stack.store.put("op", "config", make_configuration(7))
             await stack.register("desk-1", state="draining")
             for daemon in others:
-                belief = daemon.belief
+                belief = daemon.view
                 await wait_until(lambda b=belief: b.version == 7)
                 await wait_until(lambda b=belief: len(_desks(b)) == 1)
             return len(others)
@@ -274,7 +276,7 @@
         """Guards against a wait for a gateway to rest that has to read."""
 
         async def story(stack: Stack):
-            shared = stack.gateways[0]._shared
+            shared = stack.gateways[0]._cluster
             shared.publish_store_lost(True)
             assert not shared.is_reader()
             return stack.gateways[0] in await self.wait_resting(stack)
@@ -294,11 +296,11 @@
                 daemon._store._address = Address("127.0.0.1", 9)
                 daemon._follower.restart()
             await wait_until(
-                lambda: not any(d._shared.is_reader() for d in readers)
+                lambda: not any(d._cluster.is_reader() for d in readers)
             )
             await stack.register("desk-1", state="draining")
             for daemon in stack.gateways:
-                belief = daemon.belief
+                belief = daemon.view
                 await wait_until(lambda b=belief: len(_desks(b)) == 1)
 
         play(story, gateways=6)
@@ -315,7 +317,7 @@
                     task.cancel()
             await stack.store.put("op", "config", make_configuration(7))
             for daemon in others:
-                belief = daemon.belief
+                belief = daemon.view
                 await wait_until(lambda b=belief: b.version == 7)
 
         play(story, gateways=6)
@@ -332,7 +334,7 @@
                 await stack.register("desk-1", seq=seq)
                 await asyncio.sleep(0.01)
             version = stack.store.version
-            entries = stack.gateways[0].belief.entries
+            entries = stack.gateways[0].view.entries
             await wait_until(lambda: entries["desk-1"].version >= version)
             return stack.store.calls - before
 
@@ -346,7 +348,7 @@
 
         async def story(stack: Stack):
             told = []
-            shared = stack.gateways[0]._shared
+            shared = stack.gateways[0]._cluster
             publish = shared.peers.publish
             shared.peers.publish = lambda fact: (
                 told.append(fact.key),
@@ -354,7 +356,7 @@
             )
             await stack.register("desk-1", seq=2)
             await stack.register("desk-2", state="draining")
-            belief = stack.gateways[0].belief
+            belief = stack.gateways[0].view
             await wait_until(lambda: len(_desks(belief)) == 1)
             return told
 
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -200,7 +200,7 @@
             state, _ = await self.move(stack)
             groups = [
                 lambda d=daemon: d._shifts.choose_group(
-                    "desk", d.belief.find_runners("desk"), 2
+                    "desk", d.view.find_runners("desk"), 2
                 )
                 for daemon in stack.gateways
             ]
@@ -228,7 +228,7 @@
             await wait_until(lambda: bool(find_holders(stack)))
             (first,) = find_holders(stack)
             other = 1 - first
-            await stack.gateways[first].abandon()
+            await stack.gateways[first].abort()
             for id_ in NEW:
                 stack.runners[id_].fault = "fail"
                 await stack.register(id_, version="v2")
--- a/test/test_step.py
+++ b/test/test_timers.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from played_loop import play_time
 
-from lagoonpost.forwarding.step import STEP_SECONDS, sleep_in_step
+from lagoonpost.forwarding.timers import WAKEUP_INTERVAL_SECONDS, sleep_aligned
 
 
 async def measure(begin: float, seconds: float) -> float:
@@ -15,7 +15,7 @@
     await asyncio.sleep(begin)
     loop = asyncio.get_running_loop()
     started = loop.time()
-    await sleep_in_step(seconds)
+    await sleep_aligned(seconds)
     return loop.time() - started
 
 
@@ -23,7 +23,7 @@
     @given(st.floats(0.0, 50.0), st.floats(0.0, 5.0))
     def test_a_sleep_is_about_as_long_as_asked_for(self, begin, seconds):
         took = play_time(measure(begin, seconds))
-        assert took == pytest.approx(seconds, abs=STEP_SECONDS)
+        assert took == pytest.approx(seconds, abs=WAKEUP_INTERVAL_SECONDS)
         assert took > 0
 
     def test_works_of_any_begin_wake_together(self):
@@ -33,7 +33,7 @@
         async def work(begin: float, seconds: float) -> None:
             await asyncio.sleep(begin)
             while True:
-                await sleep_in_step(seconds)
+                await sleep_aligned(seconds)
                 woken.add(asyncio.get_running_loop().time())
 
         async def story() -> None:
@@ -44,11 +44,11 @@
                 task.cancel()
 
         play_time(story())
-        assert len(woken) <= 10 / STEP_SECONDS
+        assert len(woken) <= 10 / WAKEUP_INTERVAL_SECONDS
 
     def test_a_cancelled_sleep_leaves_no_timer(self):
         async def story() -> int:
-            task = asyncio.create_task(sleep_in_step(1.0))
+            task = asyncio.create_task(sleep_aligned(1.0))
             await asyncio.sleep(0.1)
             task.cancel()
             await asyncio.sleep(2.0)
