--- a/lagoonpost/forwarding/__init__.py
+++ b/lagoonpost/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway that forwards calls unchanged to runners."""
+"""The forwarding gateway: passes requests unchanged to runners."""
--- a/lagoonpost/forwarding/admission.py
+++ b/lagoonpost/forwarding/admission.py
@@ -1,4 +1,4 @@
-"""Lets requests in: finds route, workspace and service, keeps the quotas."""
+"""Admission control: resolves route and workspace, and enforces quotas."""
 
 import random
 from collections.abc import Callable
@@ -23,19 +23,20 @@
 
 
 class Admission:
-    """Decides about each request before any runner is asked.
+    """Accepts or refuses each request before it is sent to a runner.
 
     Args:
-        belief: Configuration and runners.
-        bounds: Promised times and shares.
+        view: Local view of the configuration and the runners.
+        bounds: Time limits and ratios from the settings.
         rng: Source of random choices.
-        started: Time of this start; None at the first of the system.
+        started: Time at which this process started, in seconds; None at the
+            first start of the system.
 
     Attributes:
-        shared: What is known of the other gateways.
-        breaks: Requests that crash their runners.
-        quotas: What was let through of each workspace's quota.
-        on_take: Called when something was let through.
+        cluster: State exchanged with the other gateways.
+        crashes: Fingerprints of requests that crash their runners.
+        quotas: Quota used by each workspace.
+        on_quota_charged: Called after a request was charged to a quota.
     """
 
     cluster: Shared
@@ -43,27 +44,31 @@
 
     def __init__(
         self,
-        belief: Belief,
+        view: Belief,
         bounds: Bounds,
         rng: random.Random,
         started: float | None,
     ) -> None:
-        self._belief = belief
+        self._view = view
         self._rng = rng
         self.crashes = BrokenAnswerTable()
         self.quotas = Quotas(_find_quota_bounds(bounds), started)
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Keep to other bounds from now on."""
+        """Apply new bounds to later requests."""
         self.quotas.set_bounds(_find_quota_bounds(bounds))
 
     def admit(self, exchange: Exchange) -> Refusal | None:
-        """Say what a request is, and refuse it if it may not go on."""
-        routes = self._belief.routes
+        """Resolve a request's route, workspace and service.
+
+        Returns:
+            The refusal to answer with, or None if the request is admitted.
+        """
+        routes = self._view.routes
         if routes is None:
             return NO_CONFIGURATION
         arrival = exchange.arrival
-        exchange.version = self._belief.version
+        exchange.version = self._view.version
         route = routes.find_route(arrival.host, exchange.request.target)
         if route is None:
             return NO_ROUTE
@@ -83,11 +88,11 @@
         )
         if self.crashes.is_poison(exchange.fingerprint, exchange.now()):
             return QUARANTINED
-        if not self._belief.find_runners(service):
+        if not self._view.find_runners(service):
             return NO_RUNNER
-        return self._take_quota(exchange)
+        return self._charge_quota(exchange)
 
-    def _take_quota(self, exchange: Exchange) -> Refusal | None:
+    def _charge_quota(self, exchange: Exchange) -> Refusal | None:
         workspace = exchange.workspace
         if workspace is None:
             return None
@@ -96,21 +101,21 @@
         cost = count_units(workspace, total)
         reports = self.cluster.reports
         gateways = self.cluster.count_gateways()
-        wait = self.quotas.take(
+        retry_after = self.quotas.take(
             workspace, cost, reports.heard_part(), read_clock(), gateways
         )
         exchange.quota = self.quotas.weighed
-        if wait is None:
+        if retry_after is None:
             exchange.units = cost
             self.on_quota_charged()
             if self.quotas.must_tell(workspace, gateways):
                 reports.nudge()
             return None
         detail = "the workspace is over its quota"
-        return Refusal(429, "over_quota", detail, retry_after=wait)
+        return Refusal(429, "over_quota", detail, retry_after=retry_after)
 
     def give_back(self, exchange: Exchange) -> None:
-        """Return a request's part of the quota if it has not run."""
+        """Refund the quota charged to a request that no runner started."""
         if exchange.known_not_run and exchange.workspace is not None:
             self.quotas.give_back(
                 exchange.workspace, exchange.units, read_clock()
--- a/lagoonpost/forwarding/attempt.py
+++ b/lagoonpost/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""Sends a request to one runner and reads what comes back."""
+"""Sends a request to one runner and classifies the answer."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,52 +16,66 @@
 from lagoonpost.tables.saved_run import SavedRun
 
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""Longest time to connect to a runner, 50 round trips between the failure
-domains of one region; one that is gone without a reset costs as much."""
+"""Connect timeout: 50 round trips between the failure domains of one region.
+A runner that disappears without a reset delays the request by as much."""
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Bytes of an answer that is not a stream; larger ones count as broken."""
+"""Limit for an answer that is not a stream; a larger one counts as broken."""
 
 
 class Unreachable(NamedTuple):
-    """No byte of the request left: it has not run."""
+    """No byte of the request was sent, so the runner has not run it."""
 
     detail: str
 
 
 class NotRun(NamedTuple):
-    """The runner says that it did not run the request."""
+    """The runner answered that it did not run the request."""
 
     status: int
     headers: Headers
 
 
 class Broken(NamedTuple):
-    """The request left and no whole answer came: it may have run."""
+    """The request was sent without a complete answer: it may have run."""
 
     detail: str
 
 
 class Silent(NamedTuple):
-    """Nothing came for so long that the runner is taken to be lost."""
+    """The runner sent nothing for so long that it is considered lost.
+
+    Attributes:
+        seconds: Timeout that expired.
+    """
 
     seconds: float
 
 
 class Whole(NamedTuple):
-    """An answer with its whole body."""
+    """A complete answer that is not a stream."""
 
     response: Response
 
 
 class Began(NamedTuple):
-    """A stream began; ``call`` gives the rest, ``first`` is its beginning."""
+    """The runner started to stream its answer.
+
+    Attributes:
+        call: Call from which to read the rest of the stream.
+        first: First bytes of the stream.
+    """
 
     call: "RunnerCall"
     first: bytes
 
 
 class Moved(NamedTuple):
-    """The run was stopped, and goes on at another runner."""
+    """The run was stopped and can be resumed by another runner.
+
+    Attributes:
+        target: The runner that received the saved state.
+        saved: State from which the run is resumed.
+    """
 
     target: Endpoint
     saved: SavedRun
@@ -71,7 +85,10 @@
 
 
 class RunnerCall:
-    """One request at one runner; closing it makes the runner drop it."""
+    """A request in flight at one runner.
+
+    Closing the call makes the runner cancel the request.
+    """
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
@@ -79,7 +96,7 @@
 
     @property
     def status(self) -> int:
-        """Status of the answer."""
+        """HTTP status of the answer."""
         return self._stream.status
 
     @property
@@ -90,11 +107,15 @@
     async def read(
         self, idle_timeout: float | None
     ) -> bytes | Broken | Silent:
-        """Return the next part of the body; empty at its end.
+        """Read the next part of the body.
 
         Args:
-            patience: Seconds without a byte after which the runner is taken
-                to be lost; None waits for as long as it takes.
+            idle_timeout: Seconds without a byte after which the runner is
+                considered lost; None for no timeout.
+
+        Returns:
+            The next bytes, empty at the end of the body, or how the call
+            failed.
         """
         try:
             if idle_timeout is None:
@@ -121,19 +142,24 @@
     instructions: Instructions,
     first_byte_timeout: float | None,
 ) -> Outcome:
-    """Send a request over a new connection and read how its answer begins.
+    """Send a request over a new connection and read the start of its answer.
 
-    A connection that was kept may have been closed by the runner, which
-    shows only after sending: then nobody knows whether the request ran. A
-    new one costs a round trip and leaves no doubt when it fails.
+    The runner may already have closed a reused connection. This is detected
+    only after the request was sent, when it is unknown whether the request
+    ran. A new connection costs a round trip, but if it cannot be opened, the
+    request has certainly not run.
 
     Args:
         client: HTTP client.
-        endpoint: The runner.
+        endpoint: Address of the runner.
         request: The caller's request.
-        request_id: Its id, which the answer has to name.
-        told: What the runner is told besides.
-        patience: As for `RunnerCall.read`, until the first byte.
+        request_id: Id of the request, which the answer has to repeat.
+        instructions: Headers added for the runner.
+        first_byte_timeout: Seconds to wait for the head of the answer, and
+            again for the first bytes of a stream; None for no timeout.
+
+    Returns:
+        The outcome; a `Began` leaves the connection open.
     """
     try:
         stream = await client.open(
@@ -147,24 +173,24 @@
         )
     except CallFailedError as error:
         return Unreachable(str(error))
-    keep = False
+    keep_open = False
     try:
         async with asyncio.timeout(first_byte_timeout):
             await stream.receive_head()
-        outcome = await _read_beginning(stream, request_id, first_byte_timeout)
-        keep = isinstance(outcome, Began)
+        outcome = await _read_start(stream, request_id, first_byte_timeout)
+        keep_open = isinstance(outcome, Began)
         return outcome
     except TimeoutError:
         return Silent(first_byte_timeout or 0.0)
     except CallFailedError as error:
         return Broken(str(error))
     finally:
-        if not keep:
+        if not keep_open:
             stream.close()
 
 
-async def _read_beginning(
-    stream: Stream, request_id: str, patience: float | None
+async def _read_start(
+    stream: Stream, request_id: str, first_byte_timeout: float | None
 ) -> Outcome:
     if is_not_run(stream.status, stream.headers):
         return NotRun(stream.status, stream.headers)
@@ -172,14 +198,14 @@
         return Broken("the answer is to another request")
     call = RunnerCall(stream)
     if is_event_stream(stream.headers) and stream.status == 200:
-        first = await call.read(patience)
+        first = await call.read(first_byte_timeout)
         return first if not isinstance(first, bytes) else Began(call, first)
     response = await stream.read(MAX_BODY_BYTES)
     return Whole(response)
 
 
 def is_event_stream(headers: Headers) -> bool:
-    """Tell whether a body is a series of events."""
+    """Return whether the body is a stream of server-sent events."""
     return any(
         name == "content-type" and value.startswith("text/event-stream")
         for name, value in headers
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -1,4 +1,4 @@
-"""The forwarding gateway's process: wires its parts, starts and stops them."""
+"""The forwarding gateway's process: wires, starts and stops its components."""
 
 import asyncio
 import random
@@ -44,29 +44,31 @@
 from lagoonpost.tables.traffic import Traffic
 
 LAME_DUCK_SECONDS = 2.5
-"""How long a leaving gateway goes on taking connections: callers ask for the
-entries again after two seconds."""
+"""Time in which a leaving gateway still accepts connections. Callers resolve
+the gateways' addresses again after two seconds."""
 EXIT_RESERVE_SECONDS = 0.7
-"""What is left of the grace for the process to end."""
+"""Part of the grace period that is reserved for the process to exit."""
 MAINTENANCE_INTERVAL_SECONDS = 0.25
-"""Pause between rounds of small work that nothing triggers."""
+"""Pause between rounds of periodic housekeeping."""
 SHIFT_INTERVAL_SECONDS = 0.5
-"""Pause between looks at services that move to another version."""
+"""Pause between checks of services that shift to another version."""
 BASE_RUNNERS = 1
-"""Runners at full price that each scaled service keeps."""
+"""Minimum number of on-demand runners of each scaled service."""
 
 
 class ForwardingDaemon:
-    """One forwarding gateway, from its settings to its end.
+    """One forwarding gateway, from reading its settings to its exit.
 
     Args:
         path: Settings file that the platform writes.
-        base_runners: Runners at full price that each scaled service keeps.
-        metrics_port: Port of the metrics on the entry's address; 0 for none.
-        listeners: Sockets that listen already, by address.
+        base_runners: Minimum number of on-demand runners of each scaled
+            service.
+        metrics_port: Port on which the metrics are served, at the same host
+            as the callers' requests; 0 to disable.
+        listeners: Sockets that are already listening, by address.
 
     Attributes:
-        belief: Configuration and runners as they are known here.
+        view: This gateway's view of the configuration and the runners.
     """
 
     def __init__(
@@ -79,11 +81,11 @@
         self._listeners = listeners or {}
         self._settings_watcher = SettingsWatcher(path, self._apply_settings)
         settings = self._settings = self._settings_watcher.settings
-        # Seeded, so that a played day repeats.
+        # Seeded, so that simulated days are reproducible.
         rng = random.Random(settings.name)
         self._client = Client()
         traffic = Traffic()
-        self._metrics = ForwardingMetrics(traffic, self._measure)
+        self._metrics = ForwardingMetrics(traffic, self._update_gauges)
         self.view = Belief(read_clock)
         self._store = PlatformStore(self._client, settings.store, traffic)
         wall_clock = make_clock()
@@ -96,7 +98,7 @@
             usage,
             settings.bounds,
             rng,
-            self._note,
+            self._record_exchange,
             Admission(
                 self.view,
                 settings.bounds,
@@ -108,9 +110,9 @@
             settings,
             self.view,
             self,
-            self._hear_break,
+            self._record_crash,
             lambda fact: self._shifts.learn(fact),
-            self._hear_recorded,
+            self._note_recorded_quota,
             self._store.eras.note,
             rng,
             traffic,
@@ -122,7 +124,7 @@
             wall_clock,
         )
         self._forwarder.shifts = self._shifts
-        self.view.on_down.append(self._note_down)
+        self.view.on_down.append(self._note_runner_down)
         self.view.was_store_away = self._cluster.was_store_away
         self._forwarder.cluster = self._cluster
         self._bursts = Bursts(
@@ -140,7 +142,7 @@
             self._cluster.publish_entry,
             self._cluster.publish_configuration,
             self._cluster.find_pause,
-            self._find_feed_wait,
+            self._find_feed_timeout,
             self._shifts.take_row,
         )
         self._server = Server(
@@ -186,7 +188,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then leave gracefully."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
@@ -196,7 +198,7 @@
         await self.leave()
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store and the peers."""
+        """Start the servers and begin to follow the store and the peers."""
         settings = self._settings
         self._spawn(self._follower.run())
         await self._cluster.start()
@@ -206,9 +208,9 @@
         self._spawn(self._cluster.run())
         self._spawn(self._cluster.keep_seeds(self._store))
         self._spawn(self._bursts.run())
-        self._spawn(self._keep_up())
+        self._spawn(self._run_maintenance())
         self._spawn(self._settings_watcher.run())
-        self._spawn(watch_for_suspension(self._recover))
+        self._spawn(watch_for_suspension(self._reconnect))
         if self._duties is not None:
             self._spawn(self._duties.run())
             self._spawn(
@@ -231,24 +233,29 @@
         await server.start(address, self._listeners.get(address))
 
     def _apply_settings(self, settings: HostSettings) -> None:
-        """Take over what may change; addresses and names stay."""
+        """Apply reloaded settings, except for addresses and names."""
         self._forwarder.set_bounds(settings.bounds)
         self._cluster.set_bounds(settings.bounds)
         self._cluster.peers.add_seeds(settings.seeds)
 
-    def _find_feed_wait(self) -> float:
+    def _find_feed_timeout(self) -> float:
         contact = self._settings_watcher.settings.bounds.contact_seconds
-        wait = find_wait(contact, self._cluster.find_pause() or 0.0)
+        timeout = find_wait(contact, self._cluster.find_pause() or 0.0)
         if self._cluster.find_roles().mesh:
-            return wait
-        return min(wait, READER_LONG_POLL_SECONDS)
+            return timeout
+        return min(timeout, READER_LONG_POLL_SECONDS)
 
-    def _recover(self) -> None:
+    def _reconnect(self) -> None:
         self._client.close()
         self._follower.restart()
 
     async def leave(self) -> None:
-        """Take no new callers, answer the accepted requests, and stop."""
+        """Shut down gracefully.
+
+        Deregisters from the peers, accepts connections for a short time
+        while callers switch to other gateways, and waits within the grace
+        period for the requests in flight.
+        """
         self._leaving = True
         grace = self._settings_watcher.settings.bounds.grace_seconds
         loop = asyncio.get_running_loop()
@@ -270,7 +277,7 @@
         eliot.log_message(message_type="lagoonpost:forwarding:stopped")
 
     async def abort(self) -> None:
-        """End at once, as a crash would."""
+        """Stop immediately, as in a crash."""
         for task in self._tasks:
             task.cancel()
         for _, server in self._auxiliary_servers:
@@ -278,7 +285,7 @@
         await self._server.close(0.0)
         await self._cluster.close()
 
-    def _note(self, exchange: Exchange) -> None:
+    def _record_exchange(self, exchange: Exchange) -> None:
         self._metrics.note(exchange)
         log_exchange(exchange)
 
@@ -293,31 +300,39 @@
             idle_seconds=limits.idle_seconds,
         )
 
-    # What the other gateways are told, and tell
+    # Exchange of reports with the other gateways
 
     def make_report(self, name: str, run: str) -> GatewayReport:
-        """Return the own report's contents."""
-        front = self._forwarder
-        quotas = front.admission.quotas
+        """Return the report that this gateway publishes.
+
+        Args:
+            name: Name of this gateway.
+            run: Id of this process run.
+        """
+        forwarder = self._forwarder
+        quotas = forwarder.admission.quotas
         quotas.note_told()
         now = read_clock()
         return GatewayReport(
             name=name,
             run=run,
-            work=front.placement.report(),
-            used={k: round(v) for k, v in quotas.used.items()},
-            recent={k: round(v) for k, v in quotas.list_recent(now).items()},
+            work=forwarder.placement.report(),
+            used={name: round(units) for name, units in quotas.used.items()},
+            recent={
+                name: round(units)
+                for name, units in quotas.list_recent(now).items()
+            },
             begun=self._usage.begun,
-            prompt_tokens=front.prompt_tokens,
+            prompt_tokens=forwarder.prompt_tokens,
             waiting=self._sum_waiting(),
-            pace=front.placement.paces_alone,
+            pace=forwarder.placement.paces_alone,
             version=self.view.version,
             versions=self._shifts.report(),
             read_age=self._follower.find_age(),
         )
 
     def hear_report(self, report: GatewayReport) -> None:
-        """Take another gateway's new report."""
+        """Process a new report of another gateway."""
         now = read_clock()
         sender = f"{report.name}/{report.run}"
         quotas = self._forwarder.admission.quotas
@@ -329,16 +344,22 @@
             self._cluster.reports.nudge()
 
     def list_taken(self) -> Taken:
-        """Return what all gateways let through."""
+        """Return the quota used at all gateways."""
         quotas = self._forwarder.admission.quotas
         return quotas.list_taken(read_clock(), self.view.list_workspaces())
 
     def hear_taken(self, taken: Taken, since: float) -> None:
-        """Take a hub's sums, which hold own use up to a time."""
+        """Process the quota totals that a hub computed.
+
+        Args:
+            taken: Quota used at all gateways.
+            since: Time up to which this gateway's own use is included, in
+                seconds.
+        """
         self._forwarder.admission.quotas.hear_all(taken, since, read_clock())
 
     def _sum_waiting(self) -> dict[str, int]:
-        """Return the prompt tokens under way by service."""
+        """Return the prompt tokens of requests in flight, by service."""
         waiting: dict[str, int] = {}
         for runner, work in self._forwarder.placement.report().items():
             entry = self.view.entries.get(runner)
@@ -347,20 +368,20 @@
                 waiting[service] = waiting.get(service, 0) + work.tokens
         return waiting
 
-    def _hear_break(self, seen: BrokenAnswer) -> None:
+    def _record_crash(self, crash: BrokenAnswer) -> None:
         self._forwarder.admission.crashes.note(
-            seen, asyncio.get_running_loop().time()
+            crash, asyncio.get_running_loop().time()
         )
 
-    def _hear_recorded(self, workspace: str, age: float) -> None:
+    def _note_recorded_quota(self, workspace: str, age: float) -> None:
         quotas = self._forwarder.admission.quotas
         quotas.note_recorded(workspace, read_clock() - age)
 
-    def _note_down(self, runner: str) -> None:
+    def _note_runner_down(self, runner: str) -> None:
         now = asyncio.get_running_loop().time()
         self._forwarder.admission.crashes.note_down(runner, now)
 
-    async def _keep_up(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
             await sleep_aligned(MAINTENANCE_INTERVAL_SECONDS)
             self._forwarder.placement.hear(self._cluster.reports.sum_others())
@@ -371,26 +392,26 @@
                 key for key in self.view.entries if self.view.is_known(key)
             )
 
-    def _measure(self) -> None:
+    def _update_gauges(self) -> None:
         metrics = self._metrics
         metrics.configuration.set(self.view.version)
         metrics.store_lost.set(self._follower.lost)
         for table, age in self._follower.list_ages():
             metrics.store_age.labels(table).set(age)
         metrics.gateways.set(self._cluster.count_gateways())
-        held = self._duties is not None and self._duties.is_held()
-        metrics.duties_held.set(held)
+        is_leader = self._duties is not None and self._duties.is_held()
+        metrics.duties_held.set(is_leader)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        task.add_done_callback(self._end_if_broken)
+        task.add_done_callback(self._stop_on_failure)
         self._tasks.append(task)
 
-    def _end_if_broken(self, task: asyncio.Task[None]) -> None:
-        """End the process if one of its parts failed.
+    def _stop_on_failure(self, task: asyncio.Task[None]) -> None:
+        """Stop the process if one of its background tasks failed.
 
-        A gateway that goes on without hearing of changes would serve by an
-        old configuration for good; one that ends is started anew.
+        A gateway that kept running without receiving updates would serve an
+        old configuration forever. After an exit, it is restarted.
         """
         if task.cancelled() or task.exception() is None:
             return
--- a/lagoonpost/forwarding/directory.py
+++ b/lagoonpost/forwarding/directory.py
@@ -1,4 +1,4 @@
-"""Tells callers where to connect, and the platform whether we are ready."""
+"""Service discovery for callers and the readiness check for the platform."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -13,33 +13,33 @@
 from lagoonpost.platform.headers import READY_PATH, RESOLVE_PATH
 
 MAX_ADDRESSES = 64
-"""Addresses in one answer; callers read no more."""
+"""Limit for the addresses in one answer; callers read no more."""
 TTL_SECONDS = 2.0
-"""How long callers keep an answer. Some keep it three times as long, so a
-gateway that leaves is asked for six seconds, which its grace has to cover;
-shorter answers would only add calls."""
+"""How long callers cache an answer. Some callers cache it three times as long,
+so a leaving gateway receives requests for six more seconds, which its grace
+period has to cover. A shorter TTL would only add calls."""
 
 
 class Directory:
-    """Answers both questions.
+    """Handles requests for the gateways' addresses and for readiness.
 
     Args:
-        find_entries: Returns the addresses of all gateways that serve.
-        is_ready: Tells whether this gateway serves.
-        ttl_most: Most seconds that callers accept.
-        rng: Chooses where there are too many addresses for one answer.
+        find_entries: Returns the addresses of all serving gateways.
+        is_ready: Returns whether this gateway is ready to serve.
+        max_ttl_seconds: Longest TTL that callers accept.
+        rng: Samples the addresses if there are too many for one answer.
     """
 
     def __init__(
         self,
         find_entries: Callable[[], Sequence[Address]],
         is_ready: Callable[[], bool],
-        ttl_most: float,
+        max_ttl_seconds: float,
         rng: random.Random,
     ) -> None:
         self._find_entries = find_entries
         self._is_ready = is_ready
-        self._ttl = min(TTL_SECONDS, ttl_most)
+        self._ttl = min(TTL_SECONDS, max_ttl_seconds)
         self._rng = rng
         self._answers: dict[str, Callable[[], Response]] = {
             READY_PATH: self._answer_ready,
@@ -47,7 +47,7 @@
         }
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one question."""
+        """Answer one request."""
         answer = self._answers.get(request.path)
         await responder.send(answer() if answer else Response(404))
 
--- a/lagoonpost/forwarding/exchange.py
+++ b/lagoonpost/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way: what was found, tried and answered."""
+"""State of one request: routing, attempts at runners and its outcome."""
 
 from collections.abc import Callable
 
@@ -21,34 +21,44 @@
 from lagoonpost.tables.quota import Weighed
 
 DEFAULT_TIMEOUT_SECONDS = 60.0
-"""Longest wait for a request that names no deadline on any side."""
+"""Longest wait for the answer, and for the first byte, of a request that has
+no route."""
 LOWEST_PRIORITY = 9
-"""The lowest rank that runners know."""
+"""Lowest priority that runners support; 0 is the highest."""
 RETRY_AFTER_SECONDS = 0.4
-"""When to come back after runners were full: a few of their answers later."""
+"""Retry-after when all runners are full: the time of a few of their answers,
+after which a runner is likely to have a free slot."""
 
 
 class Exchange:
     """State of one request.
 
     Attributes:
-        request: As received.
-        arrival: What the caller said.
-        route: Its route, once found.
-        workspace: Whose request it is; None if nobody's.
-        wanted: What placement has to know.
-        units: Units taken from the quota.
-        quota: Inputs of the decision about the quota, for the log.
-        version: Version of the configuration that it was judged by.
-        tried: Ids of the runners that it was offered to.
-        arrivals: Number of runners that it may have reached.
-        last_event: Id of the last event that the caller has.
-        outcome: How it ended, for the log.
-        steps: What happened, for the log.
-        outcomes: What came of each offer to a runner.
-        may_have_run: Whether a runner may have begun to run it.
-        fingerprint: Identifies it in whatever attempt.
-        kept: A runner's failure that is answered if nothing better comes.
+        request: The request as received.
+        arrival: Parameters from the caller's headers.
+        now: Clock, in seconds.
+        started: Time at which the request arrived, in seconds.
+        route: Route of the request, once found.
+        workspace: Workspace that the request is charged to, if any.
+        requirements: Properties of the request that placement considers.
+        units: Units charged to the quota.
+        quota: Inputs of the quota decision, for the log.
+        version: Version of the configuration that the request was admitted
+            under.
+        tried_runners: Ids of the runners to which the request was offered.
+        reached_count: Number of runners that the request may have reached.
+        run_count: Number of runners that may have run the request.
+        last_event: Id of the last event passed on to the caller.
+        outcome: Final outcome, for the log.
+        status: HTTP status of the answer; 0 before there is one.
+        steps: Steps taken, for the log.
+        outcomes: Outcome of each offer to a runner.
+        may_have_run: Whether a runner may have started to run the request.
+        fingerprint: Identifies the request across its attempts.
+        last_refusal: Refusal that follows from the last failed offer.
+        fallback_response: A runner's failure response, returned if no other
+            runner gives a better answer.
+        first_byte: Seconds until the caller's first byte, if there was one.
     """
 
     def __init__(
@@ -73,17 +83,17 @@
         self.steps: list[str] = []
         self.outcomes: list[str] = []
         self.may_have_run = False
-        self._sending = False
+        self._in_flight = False
         self.fingerprint = ""
         self.last_refusal: Refusal | None = None
         self.fallback_response: Response | None = None
         self.first_byte: float | None = None
         self._began = False
 
-    # What it is
+    # Properties of the request
 
     def set_service(self, name: str, service: Service | None) -> None:
-        """Say which service it goes to."""
+        """Set the service and derive the requirements for placement."""
         tokens = self.arrival.tokens
         self.requirements = Wanted(
             service=name,
@@ -94,62 +104,62 @@
 
     @property
     def deadline(self) -> float:
-        """Time at which it gets its final answer, whatever it is."""
+        """Time by which the request must be answered, in seconds."""
         timeout = self.route.timeout if self.route else DEFAULT_TIMEOUT_SECONDS
         left = self.arrival.left
         return self.started + (timeout if left is None else min(left, timeout))
 
     @property
     def target(self) -> float:
-        """Seconds within which its first byte is good."""
+        """Target time to the first byte, in seconds."""
         return self.route.target if self.route else DEFAULT_TIMEOUT_SECONDS
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route is not None and self.route.idempotent
 
     @property
     def priority(self) -> int:
-        """Rank; 0 is the most urgent."""
+        """Priority of the request; 0 is the highest."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority if self.route else 0
 
     @property
     def urgency(self) -> int | None:
-        """Rank that a model runner gives to it; None at plain services."""
+        """Priority sent to a model runner; None for other services."""
         if not self.requirements.engine:
             return None
         return min(LOWEST_PRIORITY, self.priority)
 
     @property
     def known_not_run(self) -> bool:
-        """Whether no runner can have begun it.
+        """Whether certainly no runner has started the request.
 
-        An offer that ends in its middle, as its time is over, may have
-        reached the runner; an answer that says it has not run would bring
-        the caller back with the same booking.
+        An offer that was interrupted by the deadline may have reached its
+        runner. If the answer then claimed that the request has not run, the
+        caller would repeat it, and a booking could be made twice.
         """
-        return not self.may_have_run and not self._sending
+        return not self.may_have_run and not self._in_flight
 
-    # What happens to it
+    # Progress of the request
 
     def note(self, step: str) -> None:
-        """Add a step for the log."""
+        """Record a step for the log."""
         self.steps.append(step)
 
     def note_sent(self, choice: Choice) -> None:
-        """Count an offer to a runner."""
+        """Record that the request is being sent to a runner."""
         self.tried_runners.add(choice.endpoint.id)
-        self._sending = True
+        self._in_flight = True
 
     def note_outcome(self, choice: Choice, outcome: Outcome) -> None:
-        """Take what came of an offer into account."""
-        self._sending = False
-        word = type(outcome).__name__.lower()
-        self.outcomes.append(word)
-        self.note(f"{choice.endpoint.id}:{word}:{choice.seconds:.3f}")
+        """Record the outcome of an offer and what it implies for retries."""
+        self._in_flight = False
+        label = type(outcome).__name__.lower()
+        self.outcomes.append(label)
+        self.note(f"{choice.endpoint.id}:{label}:{choice.seconds:.3f}")
         match outcome:
             case Unreachable(detail):
                 self.last_refusal = self._refuse("unreachable", detail)
@@ -169,13 +179,14 @@
                 self.may_have_run = True
 
     def _refuse(self, reason: str, detail: str) -> Refusal:
-        # Once a runner may have run it, no refusal may say that it did not.
+        # Once a runner may have run the request, no refusal may claim that
+        # it has not run.
         if self.may_have_run:
             return ANSWER_LOST
         return Refusal(503, reason, detail, retry_after=RETRY_AFTER_SECONDS)
 
     def may_retry(self) -> bool:
-        """Tell whether another runner may be asked."""
+        """Return whether the request may be sent to another runner."""
         if not self.may_have_run:
             return True
         if not self.idempotent or self.route is None:
@@ -183,42 +194,54 @@
         return self.run_count < self.route.max_attempts
 
     def may_retry_failure(self, status: int) -> bool:
-        """Tell whether a runner's failure is tried again elsewhere."""
+        """Return whether to retry at another runner after a failure status.
+
+        Args:
+            status: HTTP status that the runner answered.
+        """
         if status < 500 or self.route is None or not self.idempotent:
             return False
         return self.run_count + 1 < self.route.max_attempts
 
     def accept_event(self, event: RawEvent) -> bool:
-        """Note an event that is to be passed on; False if it was before."""
+        """Record an event that is to be passed on.
+
+        Returns:
+            False if the caller already has the event, after a resumption.
+        """
         if event.id:
-            if _is_before(event.id, self.last_event):
+            if _is_duplicate(event.id, self.last_event):
                 return False
             self.last_event = event.id
         return True
 
     def note_began(self) -> bool:
-        """Note that a runner began it; True for the first time."""
-        first = not self._began
+        """Record that a runner started to answer.
+
+        Returns:
+            Whether this is the first runner that did.
+        """
+        is_first = not self._began
         self._began = True
         self.may_have_run = True
-        return first
+        return is_first
 
     def note_first_byte(self) -> None:
-        """Note when the caller gets its first byte."""
+        """Record the time to the first byte."""
         self.first_byte = self.now() - self.started
 
     def note_answered(self, status: int) -> None:
-        """Note that a runner's answer was passed on whole."""
+        """Record that a runner's answer was passed on completely."""
         if self.first_byte is None:
             self.note_first_byte()
         self.outcome = "answered"
         self.status = status
 
     def note_refused(self, refusal: Refusal) -> None:
-        """Note an answer of our own."""
+        """Record that the gateway itself answers with a refusal."""
         self.outcome = refusal.reason
         self.status = refusal.status
 
 
-def _is_before(id_: str, last: str) -> bool:
+def _is_duplicate(id_: str, last: str) -> bool:
     return id_.isdecimal() and last.isdecimal() and int(id_) <= int(last)
--- a/lagoonpost/forwarding/forwarder.py
+++ b/lagoonpost/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards callers' requests to runners: one path for all kinds."""
+"""Forwards requests to runners; all kinds of requests share one code path."""
 
 import asyncio
 import random
@@ -47,35 +47,46 @@
 from lagoonpost.tables.saved_run import SavedRun
 
 MAX_RUNNERS_PER_REQUEST = 4
-"""Runners that one request is offered to, those that did not run it
-included: each costs the caller a round trip or a connection's time-out."""
+"""Limit for the runners to which one request is offered, including those that
+did not run it. Each costs the caller a round trip or a connect timeout."""
 CONFIGURATION_WAIT_SECONDS = 0.4
-"""How long after the first request of a start callers wait for the first
-configuration: it mostly comes some hundredths of a second later."""
+"""Time from the first request after a start during which requests wait for
+the first configuration, which usually arrives some hundredths of a second
+later."""
 MIN_FIRST_BYTE_TIMEOUT_SECONDS = 1.0
-"""Least wait for the first byte before another runner is tried."""
+"""Shortest wait for the first byte before another runner is tried, unless the
+deadline is too close."""
 FIRST_BYTE_TIMEOUT_SHARE = 0.5
-"""Most of the time left that one silent runner gets: callers of checks wait
-for a second in all, and another runner needs some of it."""
+"""Limit for the wait for one silent runner, relative to the time until the
+deadline. Callers of checks wait for one second in total, and another runner
+needs part of it."""
 
 
 class Forwarder:
     """Handles callers' requests.
 
     Args:
-        belief: Configuration and runners.
-        shared: What is known of the other gateways.
+        view: Local view of the configuration and the runners.
         client: HTTP client.
-        usage: Counts of begun requests.
-        bounds: Promised times and shares.
+        usage: Counts of started requests by workspace.
+        bounds: Time limits and ratios from the settings.
         rng: Source of random choices.
-        log: Told each exchange that ended.
-        admission: Decides about requests before runners are asked.
+        log: Called with each finished exchange.
+        admission: Accepts or refuses requests before they are forwarded.
+
+    Attributes:
+        admission: Accepts or refuses requests before they are forwarded.
+        cluster: State exchanged with the other gateways.
+        shifts: Services that shift to another version.
+        placement: Chooses runners by their load.
+        migrations: Streams in flight and their moves to other runners.
+        prompt_tokens: Prompt tokens sent to runners that were not in their
+            caches, by service.
     """
 
     def __init__(
         self,
-        belief: Belief,
+        view: Belief,
         client: Client,
         usage: UsageCount,
         bounds: Bounds,
@@ -83,7 +94,7 @@
         log: Callable[[Exchange], None],
         admission: Admission,
     ) -> None:
-        self._belief = belief
+        self._view = view
         self._client = client
         self._usage = usage
         self._bounds = bounds
@@ -94,19 +105,19 @@
         self.shifts: Shifts
         self.placement = Placement()
         self.migrations = Migrations(
-            belief,
+            view,
             self.placement,
             RunMemory(client),
-            self._take_repeat,
+            self._take_retry,
             lambda: self._bounds.drain_seconds,
             rng,
         )
         self.prompt_tokens: dict[str, int] = {}
         self._budgets: dict[str, RetryBudget] = {}
-        self._loaded_by: float | None = None
+        self._configuration_deadline: float | None = None
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Keep to other bounds from now on."""
+        """Apply new bounds and start with fresh retry budgets."""
         if bounds == self._bounds:
             return
         self._bounds = bounds
@@ -118,7 +129,7 @@
         loop = asyncio.get_running_loop()
         exchange = Exchange(request, read_arrival(request.headers), loop.time)
         try:
-            if not self._belief.loaded.is_set():
+            if not self._view.loaded.is_set():
                 await self._wait_loaded(exchange.now())
             refusal = self.admission.admit(exchange)
             if refusal is None:
@@ -133,12 +144,15 @@
             self._log(exchange)
 
     async def _wait_loaded(self, now: float) -> None:
-        """Wait for the first configuration, for some time from the start."""
-        if self._loaded_by is None:
-            self._loaded_by = now + CONFIGURATION_WAIT_SECONDS
+        """Wait for the first configuration for a limited time.
+
+        The time limit is shared by all requests after a start.
+        """
+        if self._configuration_deadline is None:
+            self._configuration_deadline = now + CONFIGURATION_WAIT_SECONDS
         try:
-            async with asyncio.timeout_at(self._loaded_by):
-                await self._belief.loaded.wait()
+            async with asyncio.timeout_at(self._configuration_deadline):
+                await self._view.loaded.wait()
         except TimeoutError:
             pass
 
@@ -147,8 +161,8 @@
     async def _forward(
         self, exchange: Exchange, responder: Responder
     ) -> Refusal | None:
-        """Offer the request to runners until one answers."""
-        budget = self._budget(exchange.requirements.service)
+        """Offer the request to runners until one of them answers it."""
+        budget = self._get_budget(exchange.requirements.service)
         budget.note_request(exchange.now())
         try:
             async with asyncio.timeout_at(exchange.deadline):
@@ -167,10 +181,10 @@
     ) -> Refusal | None:
         moved: Moved | None = None
         while True:
-            choice = self._choose(exchange, moved)
+            choice = self._choose_runner(exchange, moved)
             if choice is None:
                 return await self._give_up(exchange, responder)
-            # A move has taken its repeat before it stopped the run.
+            # A move takes its retry from the budget before it stops the run.
             if (
                 exchange.reached_count
                 and not moved
@@ -181,12 +195,12 @@
                 exchange.note("no_budget")
                 return await self._give_up(exchange, responder)
             saved = moved.saved if moved else None
-            outcome = await self._send(exchange, choice, responder, saved)
+            outcome = await self._offer(exchange, choice, responder, saved)
             exchange.note_outcome(choice, outcome)
             moved = outcome if isinstance(outcome, Moved) else None
             if moved:
                 continue
-            self._judge(exchange, choice, outcome)
+            self._record_crash_evidence(exchange, choice, outcome)
             if responder.finished or exchange.outcome == "answered":
                 return None
             poison = self.admission.crashes.is_poison(
@@ -195,35 +209,43 @@
             if poison or not exchange.may_retry():
                 return await self._give_up(exchange, responder)
 
-    def _judge(
+    def _record_crash_evidence(
         self, exchange: Exchange, choice: Choice, outcome: Outcome
     ) -> None:
-        """Note what speaks for and against a request that crashes runners."""
+        """Record evidence for or against the request crashing its runners.
+
+        A broken answer counts against the request, an answer clears it, and
+        an unreachable runner confirms earlier broken answers.
+        """
         runner = choice.endpoint.id
         if isinstance(outcome, Whole | Began):
             self.admission.crashes.note_answered(exchange.fingerprint)
         elif isinstance(outcome, Unreachable):
             self.admission.crashes.note_down(runner, exchange.now())
         elif isinstance(outcome, Broken):
-            seen = BrokenAnswer(
+            crash = BrokenAnswer(
                 exchange.fingerprint, runner, exchange.arrival.id
             )
-            self.admission.crashes.note(seen, exchange.now())
-            self.cluster.publish_break(seen)
+            self.admission.crashes.note(crash, exchange.now())
+            self.cluster.publish_break(crash)
 
     async def _give_up(
         self, exchange: Exchange, responder: Responder
     ) -> Refusal | None:
-        """End a request that no further runner is asked for."""
-        # A stream that has begun can only be broken off: the caller sees
-        # from its missing end that it is not whole.
+        """Finish a request that is offered to no further runner.
+
+        Returns:
+            The refusal to answer with, or None if the caller has an answer.
+        """
+        # A stream that has started can only be aborted. The caller detects
+        # from the missing end that it is incomplete.
         if responder.started:
             exchange.outcome = "broken_off"
             return None
-        # A runner's own failure says more than that its answer was lost,
-        # and that nobody took the request would not be true.
+        # A runner's failure response is more specific than ANSWER_LOST, and
+        # a refusal would wrongly claim that no runner has run the request.
         if exchange.fallback_response is not None:
-            await self._pass_back(
+            await self._send_response(
                 exchange, exchange.fallback_response, responder
             )
             return None
@@ -231,7 +253,7 @@
             return exchange.last_refusal
         return NO_RUNNER if exchange.known_not_run else ANSWER_LOST
 
-    def _choose(
+    def _choose_runner(
         self, exchange: Exchange, moved: Moved | None
     ) -> Choice | None:
         if moved is not None:
@@ -240,12 +262,12 @@
             return None
         service = exchange.requirements.service
         runners = [
-            each
-            for each in self._belief.find_runners(service)
-            if each.id not in exchange.tried_runners
+            runner
+            for runner in self._view.find_runners(service)
+            if runner.id not in exchange.tried_runners
         ]
         leaving = [
-            each for each in self._belief.find_all(service) if each.leaving
+            runner for runner in self._view.find_all(service) if runner.leaving
         ]
         group = self.shifts.choose_group(
             service, runners, self.cluster.count_gateways()
@@ -254,7 +276,7 @@
             group, exchange.requirements, exchange.now(), self._rng, leaving
         )
 
-    async def _send(
+    async def _offer(
         self,
         exchange: Exchange,
         choice: Choice,
@@ -264,9 +286,9 @@
         exchange.note_sent(choice)
         self.shifts.note_sent(choice.endpoint)
         placement = self.placement
-        wanted = exchange.requirements
-        placement.note_sent(choice, wanted, exchange.now())
-        sent = exchange.now()
+        requirements = exchange.requirements
+        placement.note_sent(choice, requirements, exchange.now())
+        sent_at = exchange.now()
         began = False
         try:
             outcome = await send_request(
@@ -274,13 +296,15 @@
                 choice.endpoint,
                 exchange.request,
                 exchange.arrival.id,
-                self._instruct(exchange, choice, saved),
-                self._find_patience(exchange, choice),
+                self._make_instructions(exchange, choice, saved),
+                self._find_first_byte_timeout(exchange, choice),
+            )
+            self._record_outcome(
+                exchange, choice, outcome, exchange.now() - sent_at
             )
-            self._learn(exchange, choice, outcome, exchange.now() - sent)
             began = isinstance(outcome, Began | Whole)
             if isinstance(outcome, Whole):
-                await self._answer_whole(exchange, outcome, responder)
+                await self._answer_or_retry(exchange, outcome, responder)
             elif isinstance(outcome, Began):
                 outcome = await relay(
                     exchange, choice, outcome, responder, self.migrations
@@ -289,7 +313,7 @@
         finally:
             placement.note_ended(choice, began)
 
-    def _instruct(
+    def _make_instructions(
         self, exchange: Exchange, choice: Choice, saved: SavedRun | None
     ) -> Instructions:
         workspace = exchange.workspace
@@ -303,25 +327,25 @@
             holder=choice.holder.address if choice.holder else None,
         )
 
-    def _find_patience(
+    def _find_first_byte_timeout(
         self, exchange: Exchange, choice: Choice
     ) -> float | None:
-        """Return how long a runner may be silent before its first byte.
+        """Return the timeout for a runner's first byte, in seconds.
 
-        Only where another runner may be asked: the silence of one that may
-        be at work on a booking is no reason to end it.
+        There is none if the request may not run twice: a silent runner may
+        still be working on a booking, which must not be cancelled.
         """
         if not exchange.idempotent:
             return None
-        usual = max(
+        timeout = max(
             MIN_FIRST_BYTE_TIMEOUT_SECONDS,
             2 * exchange.target,
             4 * choice.seconds,
         )
         left = exchange.deadline - exchange.now()
-        return min(usual, FIRST_BYTE_TIMEOUT_SHARE * left)
+        return min(timeout, FIRST_BYTE_TIMEOUT_SHARE * left)
 
-    def _learn(
+    def _record_outcome(
         self,
         exchange: Exchange,
         choice: Choice,
@@ -348,7 +372,7 @@
             self.shifts.note_answer(
                 choice.endpoint,
                 exchange.route.name if exchange.route else "",
-                failed=_is_failure(outcome),
+                failed=_has_failed(outcome),
                 slow=took > exchange.target,
             )
         if isinstance(outcome, Whole | Began):
@@ -367,27 +391,29 @@
 
     # Answers
 
-    async def _answer_whole(
+    async def _answer_or_retry(
         self, exchange: Exchange, outcome: Whole, responder: Responder
     ) -> None:
         response = outcome.response
         if exchange.may_retry_failure(response.status):
             exchange.fallback_response = response
             return
-        await self._pass_back(exchange, response, responder)
+        await self._send_response(exchange, response, responder)
 
-    async def _pass_back(
+    async def _send_response(
         self, exchange: Exchange, response: Response, responder: Responder
     ) -> None:
         headers = make_returned(response.headers)
         await responder.send(response._replace(headers=headers))
         exchange.note_answered(response.status)
 
-    def _take_repeat(self, service: str) -> bool:
+    def _take_retry(self, service: str) -> bool:
         now = asyncio.get_running_loop().time()
-        return self._budget(service).take(self.cluster.count_gateways(), now)
+        return self._get_budget(service).take(
+            self.cluster.count_gateways(), now
+        )
 
-    def _budget(self, service: str) -> RetryBudget:
+    def _get_budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = RetryBudget(
@@ -398,7 +424,7 @@
         return budget
 
 
-def _is_failure(outcome: Outcome) -> bool:
+def _has_failed(outcome: Outcome) -> bool:
     if isinstance(outcome, Whole):
         return outcome.response.status >= 500
     return isinstance(outcome, Broken | Silent)
--- a/lagoonpost/forwarding/log.py
+++ b/lagoonpost/forwarding/log.py
@@ -1,4 +1,4 @@
-"""Writes structured log lines to standard output without ever blocking."""
+"""Writes structured log lines to standard output without blocking."""
 
 import asyncio
 import json
@@ -9,44 +9,47 @@
 import eliot
 
 MAX_BUFFERED_LINES = 2000
-"""Lines that wait for a reader who is slow; more are counted and dropped."""
+"""Limit for lines buffered for a slow reader; more are dropped and counted."""
 
 
 class LogWriter:
-    """An eliot destination with a bounded ring.
+    """An eliot destination with a bounded buffer.
 
-    A reader that stops reading would otherwise stop the whole process at
-    its next line, and every request with it.
+    With blocking writes, a reader that stops reading would block the process
+    at its next log line, and every request with it.
+
+    Args:
+        descriptor: File descriptor to write to.
     """
 
     def __init__(self, descriptor: int = 1) -> None:
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._dropped = 0
-        self._armed = False
+        self._flush_scheduled = False
 
     def install(self) -> None:
-        """Take all of eliot's messages."""
+        """Register as a destination of all eliot messages."""
         os.set_blocking(self._descriptor, False)
         eliot.add_destinations(self)
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message."""
+        """Buffer one message and schedule a flush."""
         if len(self._lines) >= MAX_BUFFERED_LINES:
             self._dropped += 1
             return
-        for noise in ("task_uuid", "task_level"):
-            message.pop(noise, None)
+        for unused in ("task_uuid", "task_level"):
+            message.pop(unused, None)
         self._lines.append(_encode(message))
-        if not self._armed:
-            self._armed = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             try:
                 asyncio.get_running_loop().call_soon(self._flush)
             except RuntimeError:
                 self._flush()
 
     def _flush(self) -> None:
-        self._armed = False
+        self._flush_scheduled = False
         if self._dropped:
             dropped = {"message_type": "lagoonpost:log:dropped"}
             self._lines.append(_encode({**dropped, "lines": self._dropped}))
--- a/lagoonpost/forwarding/metrics.py
+++ b/lagoonpost/forwarding/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, as text for whoever collects them."""
+"""Prometheus metrics of a forwarding gateway."""
 
 from collections.abc import Callable, Iterator
 
@@ -32,17 +32,18 @@
     8.0,
     15.0,
 )
-"""Bounds of the histograms: from a check alone to the longest draft."""
+"""Upper bounds of the latency buckets. They cover the range from a check at an
+idle runner to the longest draft."""
 
 
 class _TrafficCollector(Collector):
-    """Control messages, read from their counts when somebody asks."""
+    """Exports the counts of control messages at each scrape."""
 
     def __init__(self, traffic: Traffic) -> None:
         self._traffic = traffic
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """Yield both counters."""
+        """Yield the counters of messages and of bytes."""
         labels = ("kind", "direction")
         messages = CounterMetricFamily(
             "lagoonpost_control_messages",
@@ -62,15 +63,24 @@
 
 
 class ForwardingMetrics:
-    """What one forwarding gateway counts.
+    """Metrics of one forwarding gateway.
 
     Args:
-        traffic: Counts of what is sent and received to run the system.
-        measure: Called before the metrics are told, to set the gauges.
+        traffic: Counts of control messages sent and received.
+        update_gauges: Called before each scrape to set the gauges.
+
+    Attributes:
+        configuration: Version of the configuration in force.
+        store_lost: Whether the store does not answer this gateway.
+        store_age: Seconds since the store last answered, by table.
+        duties_held: Whether this gateway performs the control duties.
+        gateways: Number of gateways considered running, including this one.
     """
 
-    def __init__(self, traffic: Traffic, measure: Callable[[], None]) -> None:
-        self._measure = measure
+    def __init__(
+        self, traffic: Traffic, update_gauges: Callable[[], None]
+    ) -> None:
+        self._update_gauges = update_gauges
         registry = self._registry = CollectorRegistry()
         registry.register(_TrafficCollector(traffic))
         self._requests = Counter(
@@ -127,7 +137,7 @@
         )
 
     def note(self, exchange: Exchange) -> None:
-        """Count a request that ended."""
+        """Record a finished request."""
         route = exchange.route.name if exchange.route else ""
         self._requests.labels(route, exchange.outcome).inc()
         if exchange.first_byte is not None:
@@ -137,11 +147,11 @@
             self._offers.labels(outcome).inc()
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer a collector."""
+        """Answer a scrape."""
         if request.path != METRICS_PATH:
             await responder.send(Response(404))
             return
         headers = (("content-type", CONTENT_TYPE_PLAIN_0_0_4),)
-        self._measure()
+        self._update_gauges()
         body = generate_latest(self._registry)
         await responder.send(Response(200, headers, body))
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -1,4 +1,9 @@
-"""Moves streams away from runners that are about to go."""
+"""Live migration of streams away from runners that are shutting down.
+
+When a runner's host is reclaimed, all of the runner's streams are in flight.
+Without migration, a stream that may run only once is lost with its runner,
+and any other one is started again at another runner.
+"""
 
 import asyncio
 import random
@@ -21,22 +26,27 @@
 from lagoonpost.tables.saved_run import Copied, NoRoom, SavedRun
 
 DEPARTURE_RETENTION_SECONDS = 30.0
-"""How long it is remembered that a runner was about to go."""
+"""How long a runner's departure is remembered."""
 MAX_TARGETS = 2
-"""Runners that a run is offered to: a notice leaves no time for more."""
+"""Limit for the targets tried for one run. The time between the notice and
+the shutdown does not suffice for more."""
 CLOSE_DELAY_SECONDS = 0.2
-"""Time in which a stopped run's stream is closed by its runner; what is on the
-way by then has come, and a connection gone silent must not hold the rest."""
+"""Time in which the runner closes the stream of a stopped run by itself. By
+then the last events in flight have arrived, and the gateway closes the stream:
+a dead connection must not delay the resumption."""
 
 
 class StreamRun:
-    """One stream at one runner.
+    """One stream in flight at one runner.
 
     Attributes:
         exchange: The request.
-        choice: The runner, as it was chosen.
-        target: Where the run goes on; None unless it was moved.
-        saved: Its memory, once a copy was made.
+        choice: The runner.
+        close: Closes the stream.
+        target: Runner at which the run is resumed; None unless it was moved.
+        saved: Saved state of the run, once a copy was made.
+        stopping: Whether the runner may have been asked to stop the run.
+        task: Task that moves the run, if it has to be moved.
     """
 
     def __init__(
@@ -52,62 +62,69 @@
 
 
 class Migrations:
-    """The streams under way, and their moves.
+    """Tracks streams in flight and moves them off departing runners.
 
     Args:
-        belief: Runners.
-        placement: How busy they are.
-        memory: Runners' calls.
-        take_repeat: Takes one repeat of a service's budget, if it has any.
-        find_drain: Returns the seconds that a leaving runner goes on for, at
-            least, where it does not say.
+        view: Local view of the configuration and the runners.
+        placement: Load of the runners.
+        memory: Client for copying runs between runners.
+        take_retry: Takes one retry from a service's budget and returns
+            whether one was left.
+        get_drain_seconds: Returns the least time for which a departing
+            runner serves on, for runners that announce no time.
         rng: Source of random choices.
     """
 
     def __init__(
         self,
-        belief: Belief,
+        view: Belief,
         placement: Placement,
         memory: RunMemory,
-        take_repeat: Callable[[str], bool],
-        find_drain: Callable[[], float],
+        take_retry: Callable[[str], bool],
+        get_drain_seconds: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self._belief = belief
+        self._view = view
         self._placement = placement
         self._memory = memory
-        self._take_repeat = take_repeat
-        self._find_drain = find_drain
+        self._take_retry = take_retry
+        self._get_drain_seconds = get_drain_seconds
         self._rng = rng
         self._runs: dict[str, set[StreamRun]] = {}
-        self._gone: dict[str, float] = {}
-        self._coming: Counter[str] = Counter()
-        self._freeing: set[asyncio.Task[None]] = set()
-        belief.on_leaving.append(self._note_leaving)
+        self._departures: dict[str, float] = {}
+        self._incoming_counts: Counter[str] = Counter()
+        self._cleanup_tasks: set[asyncio.Task[None]] = set()
+        view.on_leaving.append(self._note_leaving)
 
     def track_run(
         self, exchange: Exchange, choice: Choice, close: Callable[[], None]
     ) -> StreamRun:
-        """Take a stream that has begun into account."""
+        """Track a stream that has started, and move it if its runner departs.
+
+        Args:
+            exchange: The request.
+            choice: The runner.
+            close: Closes the stream.
+        """
         run = StreamRun(exchange, choice, close)
         runner = choice.endpoint.id
         self._runs.setdefault(runner, set()).add(run)
-        if runner in self._gone and not self._has_come_back(runner):
+        if runner in self._departures and not self._has_returned(runner):
             self._schedule(run)
         return run
 
     async def wait_for_move(self, run: StreamRun) -> bool:
-        """Tell whether a stream that came to its end was moved.
+        """Return whether a stream that ended was moved to another runner.
 
-        The answer to the call that stops the run may come after the end of
-        the stream that it stops.
+        The end of the stream may arrive before the answer to the call that
+        stops the run, so a move in progress is awaited first.
         """
         if run.task is not None and run.stopping:
             await asyncio.wait({run.task})
         return run.target is not None
 
     def end_run(self, run: StreamRun) -> None:
-        """Forget a stream, and free what nobody goes on from."""
+        """Stop tracking a stream and free a copy that will not be resumed."""
         runner = run.choice.endpoint.id
         runs = self._runs.get(runner, set())
         runs.discard(run)
@@ -117,30 +134,30 @@
             run.task.cancel()
         if run.saved is not None and run.target is None:
             task = asyncio.create_task(self._memory.free(run.saved))
-            self._freeing.add(task)
-            task.add_done_callback(self._freeing.discard)
+            self._cleanup_tasks.add(task)
+            task.add_done_callback(self._cleanup_tasks.discard)
 
-    def _has_come_back(self, runner: str) -> bool:
-        """Tell whether a runner that went serves again under its id.
+    def _has_returned(self, runner: str) -> bool:
+        """Return whether a departed runner serves again under the same id.
 
-        One that crashed is back after some seconds; its new streams would
-        be moved away as soon as they begin.
+        A runner that crashed is back after some seconds. If it still counted
+        as departing, its new streams would be moved as soon as they start.
         """
-        entry = self._belief.entries.get(runner)
+        entry = self._view.entries.get(runner)
         if entry is None or entry.endpoint is None or entry.endpoint.leaving:
             return False
-        del self._gone[runner]
+        del self._departures[runner]
         return True
 
     def _note_leaving(self, runner: str, seconds: float | None) -> None:
         now = asyncio.get_running_loop().time()
-        left = self._find_drain() if seconds is None else seconds
-        self._gone = {
-            key: gone
-            for key, gone in self._gone.items()
-            if gone > now - DEPARTURE_RETENTION_SECONDS
+        left = self._get_drain_seconds() if seconds is None else seconds
+        self._departures = {
+            departed: departure
+            for departed, departure in self._departures.items()
+            if departure > now - DEPARTURE_RETENTION_SECONDS
         }
-        self._gone[runner] = now + left
+        self._departures[runner] = now + left
         for run in self._runs.get(runner, ()):
             self._schedule(run)
 
@@ -154,18 +171,18 @@
 
     async def _move(self, run: StreamRun) -> None:
         loop = asyncio.get_running_loop()
-        gone = self._gone[run.choice.endpoint.id]
-        await asyncio.sleep(compute_migration_delay(gone, loop.time()))
+        departure = self._departures[run.choice.endpoint.id]
+        await asyncio.sleep(compute_migration_delay(departure, loop.time()))
         outcome = "no_target"
         for _ in range(MAX_TARGETS):
-            target = self._choose(run)
+            target = self._choose_target(run)
             if target is None:
                 break
-            self._coming[target.id] += 1
+            self._incoming_counts[target.id] += 1
             try:
                 outcome = await self._move_to(run, target)
             finally:
-                self._coming[target.id] -= 1
+                self._incoming_counts[target.id] -= 1
             if outcome != NoRoom.__name__.lower():
                 break
         eliot.log_message(
@@ -173,27 +190,31 @@
             request=run.exchange.arrival.id,
             source=run.choice.endpoint.id,
             target=run.target.id if run.target else "",
-            left=round(gone - loop.time(), 3),
+            left=round(departure - loop.time(), 3),
             outcome=outcome,
         )
 
-    def _choose(self, run: StreamRun) -> Endpoint | None:
+    def _choose_target(self, run: StreamRun) -> Endpoint | None:
         now = asyncio.get_running_loop().time()
         places = []
-        for each in self._belief.find_runners(
+        for runner in self._view.find_runners(
             run.exchange.requirements.service
         ):
-            state = self._placement.state(each.id)
+            state = self._placement.state(runner.id)
             running = state.requests + state.others.requests
-            running += self._coming[each.id]
-            places.append(Candidate(each, running, state.is_suspect(now)))
+            running += self._incoming_counts[runner.id]
+            places.append(Candidate(runner, running, state.is_suspect(now)))
         return choose_target(places, run.choice.endpoint, self._rng)
 
     async def _move_to(self, run: StreamRun, target: Endpoint) -> str:
-        """Copy while the run goes on, then stop it and copy the rest.
+        """Copy the run's state while it runs, then stop it and copy the rest.
+
+        The first copy may queue behind other copies on the same links. The
+        second one transfers only what was added since, which keeps the pause
+        in the caller's stream short.
 
-        The first copy may wait for others on the same links; the second has
-        only what came meanwhile, so that the caller's pause is short.
+        Returns:
+            The outcome for the log; "moved" on success.
         """
         source = run.choice.endpoint.address
         request_id = run.exchange.arrival.id
@@ -203,7 +224,7 @@
         if not isinstance(first, Copied):
             return type(first).__name__.lower()
         run.saved = first.saved
-        if not self._take_repeat(run.exchange.requirements.service):
+        if not self._take_retry(run.exchange.requirements.service):
             return "no_budget"
         run.stopping = True
         last = await self._memory.copy(
--- a/lagoonpost/forwarding/refusal.py
+++ b/lagoonpost/forwarding/refusal.py
@@ -1,4 +1,4 @@
-"""Answers of our own: why a request was not served, and when to return."""
+"""Responses of the gateway itself to requests that no runner answered."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,15 @@
 
 
 class Refusal(NamedTuple):
-    """A final answer that no runner gave.
+    """A final answer that the gateway gives instead of a runner.
 
     Attributes:
         status: HTTP status.
-        reason: Short word for logs and metrics.
-        detail: What happened and what the caller can do.
+        reason: Machine-readable reason, also used in logs and metrics.
+        detail: Description of the problem for the caller.
         execution: Whether the request was run.
-        retry_after: Seconds until coming back helps; None if it won't.
+        retry_after: Seconds after which a retry may succeed; None if a retry
+            does not help.
     """
 
     status: int
@@ -53,8 +54,8 @@
     """Return the response for a refusal."""
     headers: Headers = ()
     if refusal.retry_after is not None:
-        # Fractions are understood, and whole seconds would be as long as
-        # most callers wait in all.
+        # Callers accept fractions. A whole second is as long as most callers
+        # wait in total.
         headers = (("retry-after", f"{refusal.retry_after:.2f}"),)
     return make_problem(
         refusal.status,
--- a/lagoonpost/forwarding/relay.py
+++ b/lagoonpost/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""Passes a stream on to its caller, event by event."""
+"""Relays a runner's event stream to the caller."""
 
 from lagoonpost.forwarding.attempt import (
     Began,
@@ -16,8 +16,8 @@
 from lagoonpost.systems.placement import Choice
 
 STREAM_IDLE_TIMEOUT_SECONDS = 1.2
-"""Pause in a stream after which its runner is taken to be lost, four times
-the longest that counts as good; callers give up after two seconds and more."""
+"""Pause in a stream after which its runner is considered lost: four times the
+longest acceptable pause. Callers give up after two seconds or more."""
 
 
 async def relay(
@@ -27,22 +27,23 @@
     responder: Responder,
     migrations: Migrations,
 ) -> Outcome:
-    """Pass a stream's events on as they come, whole ones only.
+    """Pass on each complete event of a stream as it arrives.
 
     Args:
         exchange: The request.
-        choice: The runner that it began at.
+        choice: The runner that streams the answer.
         began: The stream.
-        responder: The caller.
-        migrations: Moves streams away from runners that go.
+        responder: Sends the answer to the caller.
+        migrations: Moves streams away from departing runners.
 
     Returns:
-        ``began`` if the stream was passed on to its end, else how it ended.
+        ``began`` if the stream was passed on to its end, otherwise the
+        reason why it ended early.
     """
     call = began.call
     run = migrations.track_run(exchange, choice, call.close)
     try:
-        outcome = await _pass_all(exchange, began, responder)
+        outcome = await _relay_events(exchange, began, responder)
         if await migrations.wait_for_move(run):
             assert run.target is not None and run.saved is not None
             return Moved(run.target, run.saved)
@@ -56,16 +57,16 @@
         call.close()
 
 
-async def _pass_all(
+async def _relay_events(
     exchange: Exchange, began: Began, responder: Responder
 ) -> Began | Broken | Silent:
     call = began.call
     cutter = EventCutter()
-    patience = STREAM_IDLE_TIMEOUT_SECONDS if exchange.idempotent else None
+    idle_timeout = STREAM_IDLE_TIMEOUT_SECONDS if exchange.idempotent else None
     data: bytes | Broken | Silent = began.first
     while isinstance(data, bytes) and data:
-        await _pass_on(exchange, call, cutter.feed(data), responder)
-        data = await call.read(patience)
+        await _write_events(exchange, call, cutter.feed(data), responder)
+        data = await call.read(idle_timeout)
     if not isinstance(data, bytes):
         return data
     if cutter.rest:
@@ -73,16 +74,16 @@
     return began
 
 
-async def _pass_on(
+async def _write_events(
     exchange: Exchange,
     call: RunnerCall,
     events: list[RawEvent],
     responder: Responder,
 ) -> None:
-    fresh = [event for event in events if exchange.accept_event(event)]
-    if not fresh:
+    new_events = [event for event in events if exchange.accept_event(event)]
+    if not new_events:
         return
     if not responder.started:
         exchange.note_first_byte()
         await responder.start(call.status, make_returned(call.headers))
-    await responder.write(b"".join(event.data for event in fresh))
+    await responder.write(b"".join(event.data for event in new_events))
--- a/lagoonpost/forwarding/request_log.py
+++ b/lagoonpost/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""Writes the log line of a request when it ends."""
+"""Writes the access log line of a finished request."""
 
 import eliot
 
@@ -6,7 +6,7 @@
 
 
 def log_exchange(exchange: Exchange) -> None:
-    """Write the line of one request."""
+    """Write the log line of one request."""
     route = exchange.route
     eliot.log_message(
         message_type="lagoonpost:forwarding:request",
@@ -16,7 +16,7 @@
         version=exchange.version,
         prompt=exchange.requirements.prompt,
         units=exchange.units,
-        quota=[round(each) for each in exchange.quota or ()],
+        quota=[round(value) for value in exchange.quota or ()],
         outcome=exchange.outcome,
         status=exchange.status,
         steps=exchange.steps,
--- a/lagoonpost/forwarding/watchers.py
+++ b/lagoonpost/forwarding/watchers.py
@@ -1,4 +1,4 @@
-"""Watches what changes around the process: its settings and its host."""
+"""Watches the settings file for changes and the host for suspensions."""
 
 import time
 from collections.abc import Callable
@@ -15,27 +15,28 @@
 from lagoonpost.store.clock import read_clock
 
 SETTINGS_POLL_SECONDS = 1.0
-"""Pause between looks at the settings file: it has to be in force within two
-seconds, with or without a signal."""
+"""Pause between checks of the settings file. A change must be in force within
+two seconds, with or without a signal."""
 MIN_SUSPENSION_SECONDS = 0.3
-"""Suspension from which news may have been missed: shorter ones are as long
-as a report's way."""
+"""Shortest suspension that may have caused missed updates. A shorter one is
+no longer than the delivery of a report takes anyway."""
 CLOCK_POLL_SECONDS = 0.25
-"""Pause between looks at the clocks."""
+"""Pause between comparisons of the clocks."""
 
 
 class SettingsWatcher:
-    """Reads the settings file again when it changed.
+    """Reloads the settings file when it changes.
 
     Args:
-        path: The file.
-        on_change: Told settings that differ from those before.
+        path: Path of the settings file.
+        on_change: Called with the new settings if they differ from the
+            previous ones.
 
     Attributes:
-        settings: The settings as read last.
+        settings: The current settings.
 
     Raises:
-        SettingsError: If the file can't be used at the start.
+        SettingsError: If the file is invalid at the start.
     """
 
     def __init__(
@@ -47,10 +48,11 @@
         self.settings = read_host_settings(path)
 
     def reload(self) -> None:
-        """Read the file again.
+        """Reload the file.
 
-        A file that can't be used changes nothing: it may be read while it
-        is written, and a gateway that ended for it would cut callers off.
+        An invalid file is logged and otherwise ignored: it may have been read
+        in the middle of a write, and a gateway that exited because of it
+        would cut off its callers.
         """
         self._read_at = read_change_time(self._path)
         try:
@@ -74,27 +76,30 @@
             self._on_change(settings)
 
     async def run(self) -> None:
-        """Look for changes that no signal tells of, until cancelled."""
+        """Poll for changes that no signal announces, until cancelled."""
         while True:
             await sleep_aligned(SETTINGS_POLL_SECONDS)
             if read_change_time(self._path) != self._read_at:
                 self.reload()
 
 
-async def watch_for_suspension(on_thaw: Callable[[], None]) -> None:
-    """Tell when this host stood still, until cancelled.
+async def watch_for_suspension(on_resume: Callable[[], None]) -> None:
+    """Detect suspensions of this host, until cancelled.
 
-    What changed meanwhile was not seen, and connections may have gone
-    silent. It shows as a clock that counts the time of suspension and runs
-    ahead of the one that does not.
+    During a suspension, updates are missed and connections may die without a
+    reset. It is detected by comparing a clock that advances during
+    suspension with one that does not.
+
+    Args:
+        on_resume: Called after a suspension.
     """
-    ahead = read_clock() - time.monotonic()
+    offset = read_clock() - time.monotonic()
     while True:
         await sleep_aligned(CLOCK_POLL_SECONDS)
-        before, ahead = ahead, read_clock() - time.monotonic()
-        if ahead - before > MIN_SUSPENSION_SECONDS:
+        previous, offset = offset, read_clock() - time.monotonic()
+        if offset - previous > MIN_SUSPENSION_SECONDS:
             eliot.log_message(
                 message_type="lagoonpost:forwarding:thawed",
-                seconds=round(ahead - before, 3),
+                seconds=round(offset - previous, 3),
             )
-            on_thaw()
+            on_resume()
--- a/test/forwarding_stack.py
+++ b/test/forwarding_stack.py
@@ -1,4 +1,4 @@
-"""Forwarding gateways among stand-ins, all in one event loop."""
+"""Test fixture: forwarding gateways with simulated back ends, in one loop."""
 
 import asyncio
 import itertools
@@ -29,30 +29,41 @@
 
 LOOPBACK = Address("127.0.0.1", 0)
 PATIENCE = 20.0
+"""Timeout of waits and calls in seconds."""
 __all__ = ["HOST", "KEY", "make_configuration", "make_route"]
 _T = TypeVar("_T")
 _attempts = itertools.count(1)
 
 
-def play(story: Callable[["Stack"], Awaitable[_T]], **options: Any) -> _T:
-    """Run a story against a fresh stack and return its result."""
+def play(scenario: Callable[["Stack"], Awaitable[_T]], **options: Any) -> _T:
+    """Run a scenario against a new stack and return its result."""
 
     async def run() -> _T:
         async with Stack(**options) as stack:
-            return await story(stack)
+            return await scenario(stack)
 
     return asyncio.run(run())
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, and fail if it does not come."""
+    """Wait until a condition holds, or fail after a timeout."""
     async with asyncio.timeout(PATIENCE):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
 
 
 class Stack:
-    """Store, cloud, runners and gateways."""
+    """A deployment: simulated store, cloud and runners, and real gateways.
+
+    Args:
+        gateways: Number of gateways.
+        chat: Number of runners of the service "chat".
+        desk: Number of runners of the service "desk".
+        configuration: Initial configuration; None for the default one.
+        bounds: Bounds in the gateways' settings that differ from the
+            defaults.
+        duties: Optional control duties enabled in the gateways' settings.
+    """
 
     def __init__(
         self,
@@ -104,7 +115,7 @@
         await self._exit.aclose()
 
     async def register(self, id_: str, **more: Any) -> None:
-        """Write a runner's entry."""
+        """Write a runner's entry to the store."""
         runner = self.runners[id_]
         number = int(id_.rpartition("-")[2])
         entry = make_entry(
@@ -143,7 +154,11 @@
         return daemon
 
     async def wait_ready(self) -> None:
-        """Wait until every gateway knows configuration, runners, peers."""
+        """Wait until every gateway has the configuration, runners and peers.
+
+        Raises:
+            TimeoutError: If a gateway does not become ready in time.
+        """
         for daemon in self.gateways:
             await wait_until(lambda d=daemon: self._is_ready(d))
 
@@ -179,7 +194,7 @@
         )
 
     async def open(self, path: str, headers: Headers = ()) -> Stream:
-        """Send a request, and leave its answer to be read."""
+        """Send a request and return the open stream of its answer."""
         return await self.client.open(
             self.entries[0],
             "POST",
@@ -190,18 +205,23 @@
         )
 
     def count_runs(self, attempt: str) -> int:
-        """Return how often runners ran an attempt."""
-        return sum(each.runs[attempt] for each in self.runners.values())
+        """Return how often an attempt ran, summed over the runners."""
+        return sum(runner.runs[attempt] for runner in self.runners.values())
 
     def set_fault(self, fault: Any, service: str = "") -> None:
-        """Give all runners of a service the same fault."""
+        """Set the same fault for all runners of a service.
+
+        Args:
+            fault: Name of the fault.
+            service: The service; empty for all services.
+        """
         for id_, runner in self.runners.items():
             if id_.startswith(service):
                 runner.fault = fault
 
 
 def find_holders(stack: Stack) -> list[int]:
-    """Return the numbers of the gateways that do the duties."""
+    """Return the indexes of the gateways that hold the duties lease."""
     return [
         number
         for number, daemon in enumerate(stack.gateways)
@@ -212,7 +232,7 @@
 def make_headers(
     key: str | None = KEY, headers: Headers = (), deadline: float = 5.0
 ) -> Headers:
-    """Return a caller's headers, with an attempt id of its own."""
+    """Return a caller's headers, with a new attempt id unless one is given."""
     own: Headers = (("host", HOST), ("deadline-ms", str(int(deadline * 1000))))
     if not any(name == "attempt-id" for name, _ in headers):
         own += (("attempt-id", f"attempt-{next(_attempts)}"),)
@@ -222,7 +242,13 @@
 
 
 def make_prompt(prompt: int = 100, output: int = 20, **more: str) -> Headers:
-    """Return the headers of a request to a model."""
+    """Return the headers of a request to a model.
+
+    Args:
+        prompt: Prompt tokens.
+        output: Output tokens.
+        **more: Further headers.
+    """
     return (
         ("model", "m"),
         ("token-count", f"{prompt},{output}"),
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding gateways among stand-ins: what callers and runners see."""
+"""Tests for the forwarding gateway as seen by its callers and runners."""
 
 import asyncio
 
@@ -19,13 +19,13 @@
 from lagoonpost_standins.forwarded import make_event
 
 
-def stream(path: str, events: int = 5) -> bytes:
+def make_stream(path: str, events: int = 5) -> bytes:
     return b"".join(make_event(path, n) for n in range(1, events + 1))
 
 
 class TestForwarding:
     def test_a_request_arrives_as_it_was_sent(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             headers = (
                 ("attempt-id", "a-1"),
                 ("x-own", "kept"),
@@ -40,7 +40,7 @@
             runner = next(r for r in stack.runners.values() if r.seen)
             return answer, runner.seen[0].request, runner.id
 
-        answer, request, runner = play(story)
+        answer, request, runner = play(scenario)
         assert answer.status == 200
         assert answer.header("response-signature") == f"signed-{runner}-a-1"
         assert answer.body == b"POST /book/a%20b//c?x=1&y=%2F \x00{}"
@@ -55,30 +55,30 @@
         assert request.header("authorization") is None
 
     def test_a_runner_gets_what_is_left_of_the_time(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             await stack.call("/check/1", deadline=2.0)
             await stack.call("/check/1", deadline=60.0)
             seen = [s for r in stack.runners.values() for s in r.seen]
             return sorted(int(s.request.header("deadline-ms")) for s in seen)
 
-        short, long = play(story)
+        short, long = play(scenario)
         assert 1000 < short <= 2000
         assert 4000 < long <= 5000
 
     def test_a_stream_passes_event_by_event(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             for runner in stack.runners.values():
                 runner.pause = 0.05
             call = await stack.open("/draft/1", make_prompt())
             await call.receive_head()
             return [part async for part in call.parts()]
 
-        parts = play(story)
-        assert b"".join(parts) == stream("/draft/1")
+        parts = play(scenario)
+        assert b"".join(parts) == make_stream("/draft/1")
         assert len(parts) > 1
 
-    def test_a_runner_is_told_who_holds_a_prompts_parts(self):
-        async def story(stack: Stack):
+    def test_a_runner_learns_which_runner_caches_the_prompt(self):
+        async def scenario(stack: Stack):
             headers = (*make_prompt(9000), ("kv-fetch", "10.0.0.1:80"))
             await stack.call("/draft/1", "POST", headers=headers)
             seen = next(r for r in stack.runners.values() if r.seen).seen[0]
@@ -89,8 +89,8 @@
             }
             return seen.request.header("kv-fetch"), addresses
 
-        told, others = play(story)
-        assert {told} == others
+        holder, others = play(scenario)
+        assert {holder} == others
 
     @pytest.mark.parametrize(
         ("path", "key", "status"),
@@ -107,14 +107,14 @@
         answer = play(lambda stack: stack.call(path, key=key))
         assert answer.status == status
 
-    def test_the_longest_prefix_holds(self):
+    def test_the_longest_prefix_wins(self):
         routes = [
             make_route("check", "safe", "desk"),
             make_route("check/deep", "safe", "chat"),
         ]
         configuration = make_configuration(routes=routes)
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             await stack.call("/check/deep/1")
             await stack.call("/check/deeper")
             return [
@@ -123,47 +123,47 @@
                 for seen in runner.seen
             ]
 
-        found = play(story, configuration=configuration)
+        found = play(scenario, configuration=configuration)
         assert sorted(found) == [
             ("chat", "/check/deep/1"),
             ("desk", "/check/deeper"),
         ]
 
     def test_a_request_at_the_start_waits_for_the_configuration(self):
-        """Guards against refusing callers who connect as a gateway starts."""
+        """Guards against refusing callers that connect during a start."""
 
-        async def story(stack: Stack):
-            belief = stack.gateways[0].view
-            routes, belief.routes = belief.routes, None
-            belief.loaded.clear()
+        async def scenario(stack: Stack):
+            view = stack.gateways[0].view
+            routes, view.routes = view.routes, None
+            view.loaded.clear()
             call = asyncio.create_task(stack.call("/check/1"))
             await asyncio.sleep(0.05)
-            belief.routes = routes
-            belief.loaded.set()
+            view.routes = routes
+            view.loaded.set()
             return (await call).status
 
-        assert play(story) == 200
+        assert play(scenario) == 200
 
     def test_no_configuration_is_no_reason_for_404(self):
-        """A gateway starts while the store is away.
+        """Guards against 404 answers while there is no configuration.
 
-        Its callers would be told that their route does not exist, and give
-        up for good, although it only does not know yet.
+        A gateway that starts while the store is unavailable knows no routes
+        yet. Callers that get a 404 would give up and not retry.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.gateways[0].view.routes = None
             return await stack.call("/check/1")
 
-        answer = play(story)
+        answer = play(scenario)
         assert answer.status == 503
         assert float(answer.header("retry-after")) > 0
 
     def test_a_body_that_is_too_large_is_refused(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             return await stack.call("/book/1", "POST", b"x" * 100001)
 
-        assert play(story).status == 413
+        assert play(scenario).status == 413
 
 
 class TestFailures:
@@ -171,76 +171,77 @@
         "fault", ["full", "reset_before", "reset_after", "torn", "rude"]
     )
     def test_a_check_goes_on_at_another_runner(self, fault):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["desk-1"].fault = fault
             return [await stack.call("/check/1") for _ in range(6)]
 
-        answers = play(story)
+        answers = play(scenario)
         assert [answer.status for answer in answers] == [200] * 6
         assert {answer.body for answer in answers} == {b"GET /check/1 "}
 
     def test_a_silent_runner_leaves_time_for_another(self):
-        """A check's answer is lost; its caller waits for a second in all.
+        """Guards against waiting for a silent runner until the deadline.
 
-        The gateway waited for the first runner as long as the caller did,
-        and the check failed although another runner was free.
+        A check's answer is lost, and its caller waits for one second in
+        total. If the gateway waits for the first runner as long as the
+        caller does, the check fails although another runner is free.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["desk-1"].fault = "hang"
             answers = [
                 await stack.call("/check/1", deadline=1.0) for _ in range(4)
             ]
             return [answer.status for answer in answers]
 
-        assert play(story) == [200] * 4
+        assert play(scenario) == [200] * 4
 
     def test_a_check_that_failed_is_tried_once_more(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["desk-1"].fault = "fail"
             return [await stack.call("/check/1") for _ in range(6)]
 
-        assert {answer.status for answer in play(story)} == {200}
+        assert {answer.status for answer in play(scenario)} == {200}
 
     def test_a_draft_that_failed_is_tried_once_more(self):
-        """A runner answers a part of its drafts with a failure.
+        """Guards against passing on a failure that a retry would avoid.
 
-        A draft that may be resumed may also run again, and its caller waits
-        for an answer and not for a failure.
+        A runner fails some of its drafts. A draft that may be resumed is
+        idempotent, so that another runner can answer it.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             headers = make_prompt()
             await stack.call("/draft/1", "POST", headers=headers)
-            # The next one goes where its prompt is held.
+            # The next draft goes to the runner that caches its prompt.
             used = next(r for r in stack.runners.values() if r.seen)
             used.fault = "fail"
             answer = await stack.call("/draft/1", "POST", headers=headers)
             return answer.status, len(used.seen)
 
-        assert play(story) == (200, 2)
+        assert play(scenario) == (200, 2)
 
     def test_a_reply_that_failed_is_not_tried_again(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("fail", "chat")
             headers = (("attempt-id", "r-1"), *make_prompt())
             answer = await stack.call("/reply/1", "POST", headers=headers)
             return answer.status, stack.count_runs("r-1")
 
-        assert play(story) == (500, 1)
+        assert play(scenario) == (500, 1)
 
     @pytest.mark.parametrize(
         "fault", ["reset_before", "reset_after", "torn", "rude", "hang"]
     )
     def test_a_booking_runs_at_most_once(self, fault):
-        """A booking's runner breaks off after it began.
+        """Guards against a booking that is made twice.
 
-        Nobody knows whether the booking was made. Sent to the second
-        runner, it may be made twice; answered 503, the caller sends it
-        again with the same effect.
+        When the runner of a booking fails after it may have started it, it
+        is unknown whether the booking was made. A retry at the second runner
+        may make it twice, and so may a 503, after which the caller retries.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault(fault, "desk")
             headers = (("attempt-id", "b-1"),)
             answer = await stack.call(
@@ -248,47 +249,47 @@
             )
             return answer, stack.count_runs("b-1")
 
-        answer, runs = play(story)
+        answer, runs = play(scenario)
         assert answer.status in (502, 504)
         assert runs <= 1
 
     def test_a_refused_booking_goes_on(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["desk-1"].fault = "full"
             headers = (("attempt-id", "b-1"),)
             answer = await stack.call("/book/1", "POST", headers=headers)
             return answer, stack.count_runs("b-1")
 
-        answer, runs = play(story)
+        answer, runs = play(scenario)
         assert (answer.status, runs) == (200, 1)
 
     def test_refused_by_all_is_refused_as_not_run(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("full", "desk")
             headers = (("attempt-id", "b-1"),)
             answer = await stack.call("/book/1", "POST", headers=headers)
             return answer, stack.count_runs("b-1")
 
-        answer, runs = play(story)
+        answer, runs = play(scenario)
         assert (answer.status, runs) == (503, 0)
         assert 0 < float(answer.header("retry-after")) < 5
 
     def test_a_runners_failure_is_passed_on_with_its_signature(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("fail", "desk")
             return await stack.call("/book/1", "POST")
 
-        answer = play(story)
+        answer = play(scenario)
         assert answer.status == 500
         assert answer.header("response-signature").startswith("signed-desk")
 
     def test_a_request_that_crashes_runners_is_not_sent_for_ever(self):
-        """A caller sends a request whose runner is gone whenever it begins.
+        """Guards against retries of a request that crashes its runners.
 
-        Each of its retries would take one more runner down.
+        Each retry would take one more runner down.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             runners = stack.runners.values()
             stack.set_fault("crash", "desk")
             seen = []
@@ -298,93 +299,98 @@
                 for id_ in ("desk-1", "desk-2"):
                     await stack.register(id_, born=2000 + born)
                 version = stack.store.version
-                belief = stack.gateways[0].view
+                view = stack.gateways[0].view
                 await wait_until(
-                    lambda v=version, b=belief: (
-                        b.entries["desk-2"].version >= v
+                    lambda version=version, view=view: (
+                        view.entries["desk-2"].version >= version
                     )
                 )
             runs = sum(runner.runs.total() for runner in runners)
             stack.set_fault("none")
             return seen, runs, (await stack.call("/check/2")).status
 
-        seen, runs, other = play(story)
+        seen, runs, other = play(scenario)
         assert set(seen) == {502}
         assert 3 <= runs <= 4
         assert other == 200
 
     def test_the_last_failure_of_a_check_is_passed_on(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("fail", "desk")
             return await stack.call("/check/1")
 
-        answer = play(story)
+        answer = play(scenario)
         assert answer.status == 500
         assert answer.header("response-signature").startswith("signed-desk")
 
-    def test_a_failure_is_not_told_as_not_run(self):
-        """A check fails at its runner, and no other one can be reached.
+    def test_a_failure_is_not_reported_as_not_run(self):
+        """Guards against reporting a request that has run as not run.
 
-        Told that no runner took it, its caller would hold for not run what
-        has run; the runner's own failure is the answer.
+        A check fails at its runner, and the other runner is unreachable. A
+        refusal would claim that the check has not run, so the answer is the
+        runner's failure.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("fail", "desk")
             await stack.runners["desk-2"].close()
             return [await stack.call("/check/1") for _ in range(4)]
 
-        answers = play(story)
+        answers = play(scenario)
         assert {answer.status for answer in answers} == {500}
         signatures = {a.header("response-signature") for a in answers}
         assert all(text.startswith("signed-desk-1") for text in signatures)
 
     def test_a_stream_that_began_is_never_followed_by_a_refusal(self):
-        """A draft breaks off in its middle and no other runner is left.
+        """Guards against a refusal that is written into a started stream.
 
-        A second head within the stream would be taken for its contents.
+        A draft is interrupted and no other runner is left. The caller would
+        read a second response head as part of the stream.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["chat-1"].fault = "break_off"
             with pytest.raises(CallFailedError):
                 await stack.call("/draft/1", "POST", headers=make_prompt())
 
-        play(story, chat=1)
+        play(scenario, chat=1)
 
     def test_an_address_that_another_runner_got(self):
-        """A runner ends, and its address goes to one of another service.
+        """Guards against running a request at the wrong runner.
 
-        The request that arrives there must not run: the new one answers
-        that it is not the one that was meant, and another takes it.
+        A runner exits and its address is reassigned to a runner of another
+        service. The new runner rejects the request as misdirected, and
+        another runner of the right service runs it.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["desk-1"].id = "a-new-one"
             answers = [await stack.call("/check/1") for _ in range(4)]
             return answers, stack.runners["desk-1"].runs.total()
 
-        answers, runs = play(story)
+        answers, runs = play(scenario)
         assert {answer.status for answer in answers} == {200}
         assert runs == 0
 
     def test_a_runner_that_is_gone_costs_nothing_but_time(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             await stack.runners["desk-1"].close()
             return [await stack.call("/book/1", "POST") for _ in range(6)]
 
-        assert {answer.status for answer in play(story)} == {200}
+        assert {answer.status for answer in play(scenario)} == {200}
 
     def test_a_request_ends_at_its_routes_timeout(self):
         routes = [
             make_route("book", "unsafe", "desk", timeout_ms=300),
         ]
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("hang")
             return await stack.call("/book/1", "POST", deadline=30.0)
 
-        answer = play(story, configuration=make_configuration(routes=routes))
+        answer = play(
+            scenario, configuration=make_configuration(routes=routes)
+        )
         assert answer.status == 504
 
 
@@ -393,49 +399,51 @@
         "fault", ["break_off", "break_within", "silent_midway"]
     )
     def test_a_stream_goes_on_at_another_runner(self, fault):
-        """A runner is lost in the middle of a draft, within an event.
+        """Guards against incomplete streams when a runner is lost.
 
-        The caller would see its answer end early, or an event twice, or a
-        torn one. The other runner goes on after the last whole event.
+        A runner fails in the middle of a draft, possibly within an event.
+        The stream could end early, or contain an event twice or in part.
+        Instead, another runner resumes it after the last complete event.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.runners["chat-1"].fault = fault
             return [
                 await stack.call("/draft/1", "POST", headers=make_prompt())
                 for _ in range(4)
             ]
 
-        answers = play(story)
-        assert {answer.body for answer in answers} == {stream("/draft/1")}
+        answers = play(scenario)
+        assert {answer.body for answer in answers} == {make_stream("/draft/1")}
         signatures = {a.header("response-signature") for a in answers}
         assert len(signatures) == len(answers)
 
-    def test_a_stream_that_may_not_go_on_ends_as_broken(self):
-        async def story(stack: Stack):
+    def test_a_stream_that_may_not_be_resumed_is_aborted(self):
+        async def scenario(stack: Stack):
             stack.set_fault("break_within", "chat")
             with pytest.raises(CallFailedError):
                 await stack.call("/reply/1", "POST", headers=make_prompt())
             runs = [r.runs.total() for r in stack.runners.values()]
             return sum(runs)
 
-        assert play(story) == 1
+        assert play(scenario) == 1
 
     def test_a_stream_may_be_resumed_by_its_caller(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             headers = make_prompt(**{"last-event-id": "3"})
             return await stack.call("/draft/1", "POST", headers=headers)
 
-        whole = stream("/draft/1")
-        assert play(story).body == whole[whole.index(b"id: 4") :]
+        whole = make_stream("/draft/1")
+        assert play(scenario).body == whole[whole.index(b"id: 4") :]
 
     def test_a_caller_that_leaves_ends_the_work(self):
-        """A caller closes its connection while its draft is made.
+        """Guards against work for callers that have disconnected.
 
-        The runner would go on for nobody, and others wait behind it.
+        A caller closes its connection while its draft is generated. A runner
+        that continued would delay the requests queued behind the draft.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             for runner in stack.runners.values():
                 runner.pause = 0.1
                 runner.events = 1000
@@ -445,10 +453,10 @@
             runners = stack.runners.values()
             await wait_until(lambda: any(r.cancelled for r in runners))
 
-        play(story)
+        play(scenario)
 
     def test_a_caller_that_leaves_before_the_first_byte(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             stack.set_fault("hang", "desk")
             call = await stack.open("/book/1")
             runners = stack.runners.values()
@@ -456,7 +464,7 @@
             call.close()
             await wait_until(lambda: any(r.cancelled for r in runners))
 
-        play(story)
+        play(scenario)
 
 
 class TestDirectory:
@@ -465,22 +473,22 @@
             stack.directories[number], "GET", path, timeout=5, fresh=True
         )
 
-    def test_it_names_all_that_serve(self):
-        async def story(stack: Stack):
+    def test_it_lists_all_serving_gateways(self):
+        async def scenario(stack: Stack):
             answer = await self.ask(stack, 0, "/v1/resolve?name=a&zone=b")
             return answer.body, stack.entries
 
-        body, entries = play(story, gateways=3)
+        body, entries = play(scenario, gateways=3)
         assert all(str(entry).encode() in body for entry in entries)
 
-    def test_a_leaving_gateway_is_not_named(self):
-        """A gateway stops while its callers hold connections to it.
+    def test_a_leaving_gateway_is_not_listed(self):
+        """Guards against sending callers to a gateway that shuts down.
 
-        Named in answers, it would be asked until its end, and its last
-        callers be cut off.
+        If a leaving gateway stayed in the answers, it would receive requests
+        until its exit, and the last of them would be cut off.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             leaving = asyncio.create_task(stack.gateways[1].leave())
             name = str(stack.entries[1]).encode()
             async with asyncio.timeout(5):
@@ -494,7 +502,7 @@
             await leaving
             return answer, ready
 
-        answer, ready = play(story, gateways=2)
+        answer, ready = play(scenario, gateways=2)
         assert answer.status == 200
         assert answer.header("connection") == "close"
         assert ready.status == 503
--- a/test/test_migration.py
+++ b/test/test_migration.py
@@ -1,4 +1,4 @@
-"""Streams that leave a runner before it goes."""
+"""Tests for the migration of streams away from departing runners."""
 
 import asyncio
 from random import Random
@@ -34,20 +34,20 @@
 
 
 def slow_down(stack: Stack) -> None:
-    """Let each stream take three seconds."""
+    """Make each stream take three seconds."""
     for runner in stack.runners.values():
         runner.pause = EVENT_SECONDS
         runner.events = EVENTS
 
 
-async def find_busy(stack: Stack) -> ForwardedRunner:
+async def wait_for_busy_runner(stack: Stack) -> ForwardedRunner:
     runners = stack.runners.values()
     await wait_until(lambda: any(r._stopped for r in runners))
     return next(r for r in runners if r._stopped)
 
 
 async def reclaim(stack: Stack, runner: ForwardedRunner, **more: Any) -> None:
-    """Tell that a runner goes, and let it go when it said."""
+    """Announce that a runner leaves, and close it at the announced time."""
     notice = {"spot": True, "state": "draining", "leaves_ms": 1300} | more
     await stack.register(runner.id, **notice)
     await asyncio.sleep(1.3)
@@ -57,7 +57,7 @@
 async def play_reclaim(
     stack: Stack, path: str, **more: Any
 ) -> Response | CallFailedError:
-    """Reclaim the runner that works on a stream; return what came of it."""
+    """Reclaim the runner of a stream and return the stream's result."""
     call = asyncio.create_task(
         stack.call(
             path,
@@ -65,7 +65,7 @@
             headers=(*make_prompt(MIN_PROMPT_TOKENS), ("attempt-id", "a-1")),
         )
     )
-    runner = await find_busy(stack)
+    runner = await wait_for_busy_runner(stack)
     await reclaim(stack, runner, **more)
     try:
         return await call
@@ -76,26 +76,27 @@
 class TestReclaim:
     @pytest.mark.parametrize("path", ["/reply/1", "/draft/1"])
     def test_a_stream_outlives_its_runner(self, path: str):
-        """A runner is reclaimed in the middle of a draft of three seconds.
+        """Guards against losing or repeating a stream at a reclaim.
 
-        The draft may run only once, so that it was lost with its runner,
-        or it was read and made again at another one.
+        A runner is reclaimed in the middle of a stream of three seconds.
+        Without migration, a stream that may run only once is lost, and any
+        other one is generated again at another runner.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             answer = await play_reclaim(stack, path)
             return answer, stack.count_runs("a-1")
 
-        answer, runs = play(story)
+        answer, runs = play(scenario)
         assert isinstance(answer, Response)
         assert answer.body == make_stream(path)
         assert runs == 1
 
     def test_many_streams_at_once(self):
-        """All drafts of a runner are in the middle when it is reclaimed."""
+        """Guards against losing streams when many are moved at once."""
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             calls = [
                 asyncio.create_task(
@@ -103,7 +104,7 @@
                 )
                 for _ in range(10)
             ]
-            runner = await find_busy(stack)
+            runner = await wait_for_busy_runner(stack)
             await wait_until(
                 lambda: (
                     sum(r.runs.total() for r in stack.runners.values()) == 10
@@ -112,30 +113,31 @@
             await reclaim(stack, runner)
             return [answer.body for answer in await asyncio.gather(*calls)]
 
-        bodies = play(story, chat=3)
+        bodies = play(scenario, chat=3)
         assert bodies == [make_stream("/reply/1")] * 10
 
     def test_a_runner_whose_entry_goes_without_a_notice(self):
-        """Some runners never say that they leave: their entry is deleted.
+        """Guards against moving only the streams of runners with a notice.
 
-        They serve on for the usual time, and are gone.
+        Some runners never announce that they leave. Their entry is deleted,
+        and they serve for the configured drain time before they exit.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             call = asyncio.create_task(
                 stack.call("/reply/1", "POST", headers=make_prompt())
             )
-            runner = await find_busy(stack)
+            runner = await wait_for_busy_runner(stack)
             await stack.store.delete("servers", runner.id)
             await asyncio.sleep(1.6)
             await runner.close()
             return (await call).body
 
-        assert play(story) == make_stream("/reply/1")
+        assert play(scenario) == make_stream("/reply/1")
 
     def test_what_ends_within_the_notice_is_not_moved(self):
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             for runner in stack.runners.values():
                 runner.events = 10
@@ -143,75 +145,78 @@
             seen = [s for r in stack.runners.values() for s in r.seen]
             return answer, len(seen)
 
-        answer, seen = play(story)
+        answer, seen = play(scenario)
         assert answer.status == 200
         assert seen == 1
 
     def test_a_runner_that_came_back_keeps_its_streams(self):
-        """A runner crashes: its entry goes, and comes back under its id.
+        """Guards against moving streams off a runner that has returned.
 
-        The streams that it got then were moved away as they began, as it
-        was still held to be about to go.
+        A runner crashes, and its entry is deleted and written again under
+        the same id. If the runner still counts as departing, its new streams
+        are moved as soon as they start.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
-            belief = stack.gateways[0].view
+            view = stack.gateways[0].view
             await stack.store.delete("servers", "chat-1")
-            await wait_until(lambda: not belief.is_known("chat-1"))
+            await wait_until(lambda: not view.is_known("chat-1"))
             await stack.register("chat-1", born=2000)
-            await wait_until(lambda: belief.is_known("chat-1"))
-            # Whatever is moved is lost at the other one.
+            await wait_until(lambda: view.is_known("chat-1"))
+            # A stream that is moved is lost at the other runner.
             stack.runners["chat-2"].fault = "full"
             return await stack.call("/reply/1", "POST", headers=make_prompt())
 
-        assert play(story).body == make_stream("/reply/1")
+        assert play(scenario).body == make_stream("/reply/1")
 
 
 class TestFailedMoves:
     @pytest.mark.parametrize("fault", ["no_run", "busy", "no_room"])
     def test_a_runner_that_does_not_copy_goes_on(self, fault: Any):
-        """The copy is refused; the runner stays a little longer than said.
+        """Guards against harming a stream whose copy is refused.
 
-        The stream goes on where it is, and the caller sees nothing of it.
+        The runner stays a little longer than announced. The stream continues
+        there, and the caller notices nothing.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             call = asyncio.create_task(
                 stack.call("/reply/1", "POST", headers=make_prompt())
             )
-            runner = await find_busy(stack)
+            runner = await wait_for_busy_runner(stack)
             runner.move_fault = fault
             await stack.register(
                 runner.id, spot=True, state="draining", leaves_ms=1100
             )
             return (await call).body
 
-        assert play(story) == make_stream("/reply/1")
+        assert play(scenario) == make_stream("/reply/1")
 
-    def test_a_stop_without_an_answer_is_no_whole_answer(self):
-        """The runner stops the run, and its answer to that is lost.
+    def test_a_stop_without_an_answer_aborts_the_stream(self):
+        """Guards against an incomplete answer that appears complete.
 
-        Nobody knows from where it could go on. The caller must see that
-        its answer is not whole, and the run must not begin anew.
+        The runner stops the run, but its answer to the stop is lost, so it
+        is unknown where to resume. The caller must detect that its answer is
+        incomplete, and the run must not start again.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             for runner in stack.runners.values():
                 runner.move_fault = "stop_unanswered"
             answer = await play_reclaim(stack, "/reply/1")
             return answer, stack.count_runs("a-1")
 
-        answer, runs = play(story)
+        answer, runs = play(scenario)
         assert isinstance(answer, CallFailedError)
         assert runs == 1
 
-    def test_a_target_that_takes_nothing(self):
-        """The run is stopped and copied, and the other runner refuses it."""
+    def test_a_target_that_refuses_the_run(self):
+        """Guards against a second run when the target refuses a copied run."""
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             call = asyncio.create_task(
                 stack.call(
@@ -220,26 +225,27 @@
                     headers=(*make_prompt(), ("attempt-id", "a-1")),
                 )
             )
-            runner = await find_busy(stack)
+            runner = await wait_for_busy_runner(stack)
             stack.set_fault("full", "chat")
             await reclaim(stack, runner)
             with pytest.raises(CallFailedError):
                 await call
             return stack.count_runs("a-1")
 
-        assert play(story) == 1
+        assert play(scenario) == 1
 
     def test_a_caller_that_leaves_frees_the_copies(self):
-        """A caller closes its connection while its draft is being moved.
+        """Guards against copies that are never freed.
 
-        The copy would keep a place and memory at the other runner.
+        A caller closes its connection while its draft is being moved. The
+        copy would keep occupying a slot and memory at the other runner.
         """
 
-        async def story(stack: Stack):
+        async def scenario(stack: Stack):
             slow_down(stack)
             call = await stack.open("/reply/1", make_prompt())
             await call.receive_head()
-            runner = await find_busy(stack)
+            runner = await wait_for_busy_runner(stack)
             runner.move_fault = "stop_unanswered"
             handle_answer = runner._move
 
@@ -254,7 +260,7 @@
             )
             await wait_until(lambda: bool(runner.freed))
 
-        play(story)
+        play(scenario)
 
 
 class TestDecisions:
@@ -281,16 +287,16 @@
             == "best"
         )
 
-    def test_none_has_room(self):
+    def test_no_runner_has_a_free_slot(self):
         assert self.choose(self.make_place("full", 8)) is None
 
-    def test_as_late_as_is_safe(self):
+    def test_a_move_starts_as_late_as_is_safe(self):
         assert compute_migration_delay(
             MIGRATION_LEAD_SECONDS + 5.0, 3.0
         ) == pytest.approx(2.0)
         assert compute_migration_delay(3.1, 3.0) == 0.0
 
-    def test_what_is_read_again_soon_is_not_moved(self):
+    def test_short_idempotent_prompts_are_not_moved(self):
         assert is_worth_migrating(False, 10)
         assert is_worth_migrating(True, MIN_PROMPT_TOKENS)
         assert not is_worth_migrating(True, MIN_PROMPT_TOKENS - 1)
