--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -23,7 +23,7 @@
 )
 from lagoonpost.systems.gateway import decide
 from lagoonpost.systems.gateway_tables import GatewayTables
-from lagoonpost.tables.report import LoadReport
+from lagoonpost.tables.load_report import LoadReport
 from lagoonpost.tables.request import RequestRow
 
 FLEETS = (10, 100, 1000, 2800)
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -32,7 +32,7 @@
     finish_move,
     roll_back,
 )
-from lagoonpost.tables.entity import Move
+from lagoonpost.tables.entity import VersionMove
 
 GATEWAYS = tuple(f"gateway-{index}" for index in range(9))
 ROUTES = ("bookings", "checks/*")
@@ -129,7 +129,7 @@
 
     def __init__(self, case: Case, ticket: int) -> None:
         self.case = case
-        move = Move("booking", "v1", "v2", case.seconds, ticket)
+        move = VersionMove("booking", "v1", "v2", case.seconds, ticket)
         self.row: MoveRow | DeadlineTooNear = begin_move(move, 0.0)
         questions = [(r, q) for r in ROUTES for q in QUESTIONS]
         self.evidence = dict.fromkeys(questions, Evidence())
@@ -205,7 +205,7 @@
 def _list_stage_shares(ticket: int, stage: int) -> Array:
     # The same shares for all moves with one ticket number, as its few first
     # gateways depend on it alone.
-    row = begin_move(Move("", "", "", MAX_RAMP_SECONDS, ticket), 0.0)
+    row = begin_move(VersionMove("", "", "", MAX_RAMP_SECONDS, ticket), 0.0)
     assert isinstance(row, MoveRow)
     times = np.arange(0.0, MAX_RAMP_SECONDS, 10.0)
     now = next(time for time in times if find_stage(row, time) == stage)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -11,13 +11,16 @@
 from lagoonpost.systems.placement import Placement, Wanted
 from lagoonpost.tables.address import Address
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost.tables.forwarded import Part
+from lagoonpost.tables.metadata import PromptPart
 
 COUNTS = (9, 70, 2800)
 CHOICES = 20_000
 """Predictions in all for each count, so that each takes about as long."""
 PROMPT = Wanted(
-    "chat", 9000, (Part("a", 2500), Part("b", 3700), Part("c", 2800)), True
+    "chat",
+    9000,
+    (PromptPart("a", 2500), PromptPart("b", 3700), PromptPart("c", 2800)),
+    True,
 )
 
 
--- a/bench/player.py
+++ b/bench/player.py
@@ -39,7 +39,7 @@
 from lagoonpost.tables.entity import (
     Declaration,
 )
-from lagoonpost.tables.report import LoadReport
+from lagoonpost.tables.load_report import LoadReport
 from lagoonpost.tables.request import RequestRow
 
 TICK_SECONDS = 0.05
--- a/lagoonpost/cli/ticket.py
+++ b/lagoonpost/cli/ticket.py
@@ -22,7 +22,7 @@
 from lagoonpost.http.client import CallFailedError
 from lagoonpost.http.message import Address, Response
 from lagoonpost.systems.ticket import find_unreachable_deadlines
-from lagoonpost.tables.ticket import Faults, Ticket
+from lagoonpost.tables.ticket import InvalidTicket, Ticket
 
 POLL_SECONDS = 0.2
 _CODES = {
@@ -203,10 +203,10 @@
 
 def _load(settings: dict[str, Any], file: Path) -> Ticket:
     loaded = load_ticket(file)
-    if isinstance(loaded, Faults):
-        faults = [fault._asdict() for fault in loaded.faults]
+    if isinstance(loaded, InvalidTicket):
+        faults = [fault._asdict() for fault in loaded.errors]
         _print(
-            settings, "\n".join(map(str, loaded.faults)), {"faults": faults}
+            settings, "\n".join(map(str, loaded.errors)), {"faults": faults}
         )
         raise click.exceptions.Exit(ExitCode.FAILED)
     # Said before the ticket is handed in, when its time can still be changed.
--- a/lagoonpost/declarations/content.py
+++ b/lagoonpost/declarations/content.py
@@ -7,7 +7,13 @@
 import msgspec
 
 from lagoonpost.declarations.schema import KINDS, SECTIONS, find_unknown
-from lagoonpost.tables.ticket import ABSENT, Fault, Faults, State, Ticket
+from lagoonpost.tables.ticket import (
+    ABSENT,
+    FieldError,
+    InvalidTicket,
+    ObjectState,
+    Ticket,
+)
 
 MAX_NUMBER = 99_999_999
 """Row keys carry eight digits, so that they sort by number."""
@@ -16,7 +22,7 @@
 _HEAD = {"ticket", "reason"}
 
 
-def parse_ticket(content: Any) -> Ticket | Faults:
+def parse_ticket(content: Any) -> Ticket | InvalidTicket:
     """Check plain data against the ticket format.
 
     Args:
@@ -26,17 +32,21 @@
         The ticket with each state in its one normal form, or all faults.
     """
     if not isinstance(content, Mapping):
-        return Faults((Fault("$", "expected a mapping"),))
+        return InvalidTicket((FieldError("$", "expected a mapping"),))
     faults = _check_head(content)
-    objects: dict[str, State] = {}
+    objects: dict[str, ObjectState] = {}
     for section, named in content.items():
         if section in _HEAD:
             continue
         if section not in SECTIONS:
             allowed = ", ".join((*sorted(_HEAD), *SECTIONS))
-            faults.append(Fault(str(section), f"unknown; one of {allowed}"))
+            faults.append(
+                FieldError(str(section), f"unknown; one of {allowed}")
+            )
         elif not isinstance(named, Mapping):
-            faults.append(Fault(section, "expected names and their states"))
+            faults.append(
+                FieldError(section, "expected names and their states")
+            )
         else:
             for name, raw in named.items():
                 path = f"{section}.{name}"
@@ -44,9 +54,9 @@
                 state = _check_object(kind, name, raw, path, faults)
                 objects[f"{kind}/{name}"] = state
     if not objects and not faults:
-        faults.append(Fault("$", "the ticket touches nothing"))
+        faults.append(FieldError("$", "the ticket touches nothing"))
     if faults:
-        return Faults(tuple(faults))
+        return InvalidTicket(tuple(faults))
     return Ticket(content["ticket"], content["reason"], objects)
 
 
@@ -63,38 +73,38 @@
     return content
 
 
-def _check_head(content: Mapping[Any, Any]) -> list[Fault]:
+def _check_head(content: Mapping[Any, Any]) -> list[FieldError]:
     faults = []
     number = content.get("ticket")
     # A YAML `true` is an int to Python.
     if type(number) is not int or not 1 <= number <= MAX_NUMBER:
         message = f"expected a whole number from 1 to {MAX_NUMBER}"
-        faults.append(Fault("ticket", message))
+        faults.append(FieldError("ticket", message))
     reason = content.get("reason")
     if not isinstance(reason, str) or not reason.strip():
-        faults.append(Fault("reason", "expected why the change is made"))
+        faults.append(FieldError("reason", "expected why the change is made"))
     return faults
 
 
 def _check_object(
-    kind: str, name: Any, raw: Any, path: str, faults: list[Fault]
-) -> State:
+    kind: str, name: Any, raw: Any, path: str, faults: list[FieldError]
+) -> ObjectState:
     parts = name.split("/") if isinstance(name, str) else [""]
     if len(parts) != (2 if kind == "version" else 1):
         form = "SERVICE/VERSION" if kind == "version" else "one name"
-        faults.append(Fault(path, f"expected {form}"))
+        faults.append(FieldError(path, f"expected {form}"))
     elif not all(map(_NAME.fullmatch, parts)):
         message = "names have a-z, 0-9, dot, dash and underscore"
-        faults.append(Fault(path, f"{message}; at most 63 characters"))
+        faults.append(FieldError(path, f"{message}; at most 63 characters"))
     if raw == ABSENT:
         return ABSENT
     try:
         spec = msgspec.convert(raw, KINDS[kind])
     except msgspec.ValidationError as error:
         message, _, place = str(error).partition(" - at `$")
-        faults.append(Fault(path + place.rstrip("`"), message))
+        faults.append(FieldError(path + place.rstrip("`"), message))
         return ABSENT
     for unknown in find_unknown(raw, spec):
-        faults.append(Fault(path + unknown[1:], "unknown field"))
-    state: State = msgspec.to_builtins(spec)
+        faults.append(FieldError(path + unknown[1:], "unknown field"))
+    state: ObjectState = msgspec.to_builtins(spec)
     return state
--- a/lagoonpost/declarations/file.py
+++ b/lagoonpost/declarations/file.py
@@ -7,10 +7,10 @@
 import yaml
 
 from lagoonpost.declarations.content import parse_ticket
-from lagoonpost.tables.ticket import Fault, Faults, Ticket
+from lagoonpost.tables.ticket import FieldError, InvalidTicket, Ticket
 
 
-def load_ticket(path: Path) -> Ticket | Faults:
+def load_ticket(path: Path) -> Ticket | InvalidTicket:
     """Load a ticket file.
 
     Args:
@@ -26,30 +26,32 @@
     try:
         node = loader.get_single_node()
         if node is None:
-            return Faults((Fault("$", "the file is empty", str(path), 1),))
+            return InvalidTicket(
+                (FieldError("$", "the file is empty", str(path), 1),)
+            )
         twice = _find_duplicates(node, str(path))
         if twice:
-            return Faults(tuple(twice))
+            return InvalidTicket(tuple(twice))
         content = loader.construct_document(node)
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
         line = mark.line + 1 if mark else 1
         message = str(error.problem or error)
-        return Faults((Fault("$", message, str(path), line),))
+        return InvalidTicket((FieldError("$", message, str(path), line),))
     finally:
         loader.dispose()
     ticket = parse_ticket(content)
     if isinstance(ticket, Ticket):
         return ticket
-    return Faults(
+    return InvalidTicket(
         tuple(
             fault._replace(file=str(path), line=_find_line(node, fault.field))
-            for fault in ticket.faults
+            for fault in ticket.errors
         )
     )
 
 
-def _find_duplicates(node: yaml.Node, file: str) -> list[Fault]:
+def _find_duplicates(node: yaml.Node, file: str) -> list[FieldError]:
     # YAML loaders keep the last of two equal keys. An object that stands
     # twice in a ticket would silently lose the state given first.
     faults = []
@@ -58,7 +60,9 @@
         for key, value in node.value:
             if key.value in seen:
                 line = key.start_mark.line + 1
-                faults.append(Fault(str(key.value), "given twice", file, line))
+                faults.append(
+                    FieldError(str(key.value), "given twice", file, line)
+                )
             seen.add(key.value)
             faults += _find_duplicates(value, file)
     elif isinstance(node, yaml.SequenceNode):
--- a/lagoonpost/declarations/plan.py
+++ b/lagoonpost/declarations/plan.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from lagoonpost.tables.ticket import ABSENT, State
+from lagoonpost.tables.ticket import ABSENT, ObjectState
 
 
 class Change(NamedTuple):
@@ -19,7 +19,7 @@
 
 
 def list_changes(
-    old: Mapping[str, State], new: Mapping[str, State]
+    old: Mapping[str, ObjectState], new: Mapping[str, ObjectState]
 ) -> list[Change]:
     """Return each field that ``new`` sets to another value than ``old``."""
     return [
@@ -29,7 +29,7 @@
     ]
 
 
-def _compare(key: str, old: State, new: State) -> Iterator[Change]:
+def _compare(key: str, old: ObjectState, new: ObjectState) -> Iterator[Change]:
     fields = dict.fromkeys((*old, *new))
     for field in fields:
         if old.get(field) != new.get(field):
--- a/lagoonpost/declarations/state.py
+++ b/lagoonpost/declarations/state.py
@@ -18,15 +18,15 @@
 )
 from lagoonpost.tables.entity import (
     Declaration,
-    Move,
     Operator,
     Route,
     Runner,
     Service,
     Version,
+    VersionMove,
     Workspace,
 )
-from lagoonpost.tables.ticket import ABSENT, Fault, ObjectRecord, Snapshot
+from lagoonpost.tables.ticket import ABSENT, FieldError, ObjectRecord, Snapshot
 
 SHARE_ERROR = 1e-6
 """Shares are typed as decimals; their sum may be off by rounding."""
@@ -70,7 +70,7 @@
     return merged
 
 
-def find_misfits(declaration: Declaration) -> Iterator[Fault]:
+def find_misfits(declaration: Declaration) -> Iterator[FieldError]:
     """Yield what refers to something undeclared or clashes."""
     names = _collect_names(declaration)
     yield from _find_dangling(declaration, names)
@@ -95,35 +95,37 @@
     )
 
 
-def _find_dangling(declaration: Declaration, names: _Names) -> Iterator[Fault]:
+def _find_dangling(
+    declaration: Declaration, names: _Names
+) -> Iterator[FieldError]:
     for version in declaration.versions:
         if version.service not in names.services:
             field = f"versions.{version.service}/{version.name}"
-            yield Fault(field, f"no service {version.service!r}")
+            yield FieldError(field, f"no service {version.service!r}")
     for runner in declaration.runners:
         if (runner.service, runner.version) not in names.versions:
             wanted = f"{runner.service}/{runner.version}"
             field = f"runners.{runner.name}.version"
-            yield Fault(field, f"no version {wanted!r}")
+            yield FieldError(field, f"no version {wanted!r}")
     for move in declaration.moves:
         field = f"moves.{move.service}"
         if move.from_version == move.to_version:
-            yield Fault(f"{field}.to", "the same version as `from`")
+            yield FieldError(f"{field}.to", "the same version as `from`")
         ends = {"from": move.from_version, "to": move.to_version}
         for side, version_name in ends.items():
             if (move.service, version_name) not in names.versions:
                 wanted = f"{move.service}/{version_name}"
-                yield Fault(f"{field}.{side}", f"no version {wanted!r}")
+                yield FieldError(f"{field}.{side}", f"no version {wanted!r}")
 
 
-def _find_shares(declaration: Declaration) -> Iterator[Fault]:
+def _find_shares(declaration: Declaration) -> Iterator[FieldError]:
     sums: dict[str, float] = defaultdict(float)
     for version in declaration.versions:
         sums[version.service] += version.share
     for service, total in sums.items():
         if abs(total - 1) > SHARE_ERROR:
             message = f"shares of all versions add up to {total:g}, not 1"
-            yield Fault(f"versions.{service}", message)
+            yield FieldError(f"versions.{service}", message)
 
 
 def _list_keys(declaration: Declaration) -> Iterator[tuple[str, str]]:
@@ -133,12 +135,12 @@
         yield f"operators.{operator.name}", operator.key_digest
 
 
-def _find_clashes(fields: Iterable[tuple[str, str]]) -> Iterator[Fault]:
+def _find_clashes(fields: Iterable[tuple[str, str]]) -> Iterator[FieldError]:
     pairs = tuple(fields)
     counts = Counter(value for _, value in pairs)
     for field, value in pairs:
         if counts[value] > 1:
-            yield Fault(field, f"{value} is given {counts[value]} times")
+            yield FieldError(field, f"{value} is given {counts[value]} times")
 
 
 def _make_route(spec: RouteSpec) -> Route:
@@ -180,9 +182,9 @@
     )
 
 
-def _make_move(name: str, spec: MoveSpec, ticket: int) -> Move:
+def _make_move(name: str, spec: MoveSpec, ticket: int) -> VersionMove:
     by = spec.by.timestamp()
-    return Move(name, spec.from_version, spec.to_version, by, ticket)
+    return VersionMove(name, spec.from_version, spec.to_version, by, ticket)
 
 
 def _make_operator(name: str, spec: OperatorSpec, ticket: int) -> Operator:
--- a/lagoonpost/forwarding/attempt.py
+++ b/lagoonpost/forwarding/attempt.py
@@ -13,7 +13,7 @@
     make_forwarded,
 )
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost.tables.saved_run import SavedRun
+from lagoonpost.tables.kv_copy import KvCopy
 
 CONNECT_TIMEOUT_SECONDS = 0.3
 """Connect timeout: 50 round trips between the failure domains of one region.
@@ -78,7 +78,7 @@
     """
 
     target: Endpoint
-    saved: SavedRun
+    saved: KvCopy
 
 
 Outcome = Unreachable | NotRun | Broken | Silent | Whole | Began | Moved
--- a/lagoonpost/forwarding/belief.py
+++ b/lagoonpost/forwarding/belief.py
@@ -147,7 +147,7 @@
                 told(key)
         if _began_to_leave(before, endpoint):
             for warned in self.on_leaving:
-                warned(key, endpoint.leaves if endpoint else None)
+                warned(key, endpoint.leaves_in_seconds if endpoint else None)
         changed = held is None or held.endpoint != endpoint
         if changed:
             eliot.log_message(
--- a/lagoonpost/forwarding/bursts.py
+++ b/lagoonpost/forwarding/bursts.py
@@ -20,7 +20,7 @@
 )
 from lagoonpost.systems.quota import Quotas
 from lagoonpost.tables.configuration import Workspace
-from lagoonpost.tables.gateway_report import Taken
+from lagoonpost.tables.gateway_report import UsageByAge
 
 BURST_PREFIX = "burst/"
 RECORD_SHARES = (0.3, 0.45, 0.6)
@@ -129,7 +129,7 @@
                 return
 
     def _take(self, rows: Sequence[Row], now: float) -> None:
-        records: Taken = {}
+        records: UsageByAge = {}
         for row in rows:
             record = _read_record(row)
             if record is None:
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -40,8 +40,8 @@
 from lagoonpost.systems.poison import BrokenAnswer
 from lagoonpost.systems.route import RouteTable
 from lagoonpost.systems.shift import ExposureBounds
-from lagoonpost.tables.gateway_report import GatewayReport, Taken
-from lagoonpost.tables.traffic import Traffic
+from lagoonpost.tables.control_traffic import ControlTraffic
+from lagoonpost.tables.gateway_report import GatewayReport, UsageByAge
 
 LAME_DUCK_SECONDS = 2.5
 """Time in which a leaving gateway still accepts connections. Callers resolve
@@ -84,7 +84,7 @@
         # Seeded, so that simulated days are reproducible.
         rng = random.Random(settings.name)
         self._client = Client()
-        traffic = Traffic()
+        traffic = ControlTraffic()
         self._metrics = ForwardingMetrics(traffic, self._update_gauges)
         self.view = Belief(read_clock)
         self._store = PlatformStore(self._client, settings.store, traffic)
@@ -324,10 +324,10 @@
             },
             begun=self._usage.begun,
             prompt_tokens=forwarder.prompt_tokens,
-            waiting=self._sum_waiting(),
-            pace=forwarder.placement.paces_alone,
+            unread_prompt_tokens=self._sum_waiting(),
+            seconds_per_prompt_token=forwarder.placement.paces_alone,
             version=self.view.version,
-            versions=self._shifts.report(),
+            shift_counts=self._shifts.report(),
             read_age=self._follower.find_age(),
         )
 
@@ -343,12 +343,12 @@
         if quotas.is_tight(self.view.list_workspaces(), now):
             self._cluster.reports.nudge()
 
-    def list_taken(self) -> Taken:
+    def list_taken(self) -> UsageByAge:
         """Return the quota used at all gateways."""
         quotas = self._forwarder.admission.quotas
         return quotas.list_taken(read_clock(), self.view.list_workspaces())
 
-    def hear_taken(self, taken: Taken, since: float) -> None:
+    def hear_taken(self, taken: UsageByAge, since: float) -> None:
         """Process the quota totals that a hub computed.
 
         Args:
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -279,8 +279,14 @@
         fresh = self._shared.reports.fresh(with_own=True)
         now = read_clock()
         for service in self._list_scaled():
-            waiting = sum(r.waiting.get(service, 0) for r in fresh)
-            paces = [r.pace[service] for r in fresh if service in r.pace]
+            waiting = sum(
+                r.unread_prompt_tokens.get(service, 0) for r in fresh
+            )
+            paces = [
+                r.seconds_per_prompt_token[service]
+                for r in fresh
+                if service in r.seconds_per_prompt_token
+            ]
             pace = median(paces) if paces else FIRST_TOKEN_PACE
             meter = self._meter(service)
             meter.note(Sample(now, self._sent[service], waiting, pace))
--- a/lagoonpost/forwarding/exchange.py
+++ b/lagoonpost/forwarding/exchange.py
@@ -17,8 +17,8 @@
 from lagoonpost.http.message import Request, Response
 from lagoonpost.systems.placement import Choice, Wanted
 from lagoonpost.tables.configuration import Route, Service, Workspace
-from lagoonpost.tables.forwarded import Arrival
-from lagoonpost.tables.quota import Weighed
+from lagoonpost.tables.metadata import RequestMetadata
+from lagoonpost.tables.quota import QuotaCheck
 
 DEFAULT_TIMEOUT_SECONDS = 60.0
 """Longest wait for the answer, and for the first byte, of a request that has
@@ -62,7 +62,10 @@
     """
 
     def __init__(
-        self, request: Request, arrival: Arrival, clock: Callable[[], float]
+        self,
+        request: Request,
+        arrival: RequestMetadata,
+        clock: Callable[[], float],
     ) -> None:
         self.request = request
         self.arrival = arrival
@@ -72,7 +75,7 @@
         self.workspace: Workspace | None = None
         self.requirements = Wanted("", 0, (), False)
         self.units = 0.0
-        self.quota: Weighed | None = None
+        self.quota: QuotaCheck | None = None
         self.version = 0
         self.tried_runners: set[str] = set()
         self.reached_count = 0
--- a/lagoonpost/forwarding/forwarder.py
+++ b/lagoonpost/forwarding/forwarder.py
@@ -44,7 +44,7 @@
 from lagoonpost.systems.budget import RetryBudget
 from lagoonpost.systems.placement import Choice, Placement
 from lagoonpost.systems.poison import BrokenAnswer
-from lagoonpost.tables.saved_run import SavedRun
+from lagoonpost.tables.kv_copy import KvCopy
 
 MAX_RUNNERS_PER_REQUEST = 4
 """Limit for the runners to which one request is offered, including those that
@@ -281,7 +281,7 @@
         exchange: Exchange,
         choice: Choice,
         responder: Responder,
-        saved: SavedRun | None,
+        saved: KvCopy | None,
     ) -> Outcome:
         exchange.note_sent(choice)
         self.shifts.note_sent(choice.endpoint)
@@ -314,7 +314,7 @@
             placement.note_ended(choice, began)
 
     def _make_instructions(
-        self, exchange: Exchange, choice: Choice, saved: SavedRun | None
+        self, exchange: Exchange, choice: Choice, saved: KvCopy | None
     ) -> Instructions:
         workspace = exchange.workspace
         return Instructions(
--- a/lagoonpost/forwarding/metrics.py
+++ b/lagoonpost/forwarding/metrics.py
@@ -16,7 +16,7 @@
 from lagoonpost.forwarding.exchange import Exchange
 from lagoonpost.http.message import Request, Response
 from lagoonpost.http.responder import Responder
-from lagoonpost.tables.traffic import Traffic
+from lagoonpost.tables.control_traffic import ControlTraffic
 
 METRICS_PATH = "/metrics"
 LATENCY_BUCKETS_SECONDS = (
@@ -39,7 +39,7 @@
 class _TrafficCollector(Collector):
     """Exports the counts of control messages at each scrape."""
 
-    def __init__(self, traffic: Traffic) -> None:
+    def __init__(self, traffic: ControlTraffic) -> None:
         self._traffic = traffic
 
     def collect(self) -> Iterator[CounterMetricFamily]:
@@ -78,7 +78,7 @@
     """
 
     def __init__(
-        self, traffic: Traffic, update_gauges: Callable[[], None]
+        self, traffic: ControlTraffic, update_gauges: Callable[[], None]
     ) -> None:
         self._update_gauges = update_gauges
         registry = self._registry = CollectorRegistry()
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -23,7 +23,7 @@
 )
 from lagoonpost.systems.placement import Choice, Placement
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost.tables.saved_run import Copied, NoRoom, SavedRun
+from lagoonpost.tables.kv_copy import Copied, KvCopy, NoRoom
 
 DEPARTURE_RETENTION_SECONDS = 30.0
 """How long a runner's departure is remembered."""
@@ -56,7 +56,7 @@
         self.choice = choice
         self.close = close
         self.target: Endpoint | None = None
-        self.saved: SavedRun | None = None
+        self.saved: KvCopy | None = None
         self.stopping = False
         self.task: asyncio.Task[None] | None = None
 
--- a/lagoonpost/forwarding/reports.py
+++ b/lagoonpost/forwarding/reports.py
@@ -16,9 +16,9 @@
 )
 from lagoonpost.tables.gateway_report import (
     GatewayReport,
+    HubSummary,
     RunnerWork,
-    Summary,
-    Taken,
+    UsageByAge,
     add_work,
     subtract_work,
 )
@@ -59,10 +59,10 @@
     def hear_report(self, report: GatewayReport) -> None:
         """Take another gateway's new report."""
 
-    def list_taken(self) -> Taken:
+    def list_taken(self) -> UsageByAge:
         """Return what all gateways let through."""
 
-    def hear_taken(self, taken: Taken, since: float) -> None:
+    def hear_taken(self, taken: UsageByAge, since: float) -> None:
         """Take a hub's sums, which hold own use up to a time."""
 
 
@@ -109,14 +109,14 @@
         self._clock = clock
         self._post = post
         post.receive(GatewayReport, self._take_report)
-        post.receive(Summary, self._take_summary)
+        post.receive(HubSummary, self._take_summary)
         self.run_id = secrets.token_hex(4)
         self.held: dict[str, tuple[float, GatewayReport]] = {}
         self._started = 0.0
         self._rank = 0
         self._summaries = 0
         self._sent: dict[int, _Sent] = {}
-        self._summary: tuple[float, Summary] | None = None
+        self._summary: tuple[float, HubSummary] | None = None
         self._numbers: dict[str, int] = {}
         self._others: dict[str, RunnerWork] = {}
         self._heard_part = (-math.inf, 1.0)
@@ -164,7 +164,7 @@
     def _send_report(self) -> None:
         report = self._party.make_report(self._name, self.run_id)
         self._rank += 1
-        report = report._replace(rank=self._rank)
+        report = report._replace(sequence=self._rank)
         self._drop_old()
         self._keep_report(report)
         self._sent[self._rank] = _Sent(self._now(), report.work)
@@ -196,21 +196,23 @@
             return
         fresh = self.fresh(with_own=True)
         # The newest run of each name comes last.
-        ranks = {report.name: (report.run, report.rank) for report in fresh}
+        ranks = {
+            report.name: (report.run, report.sequence) for report in fresh
+        }
         self._summaries += 1
-        summary = Summary(
+        summary = HubSummary(
             hub=self.run_id,
             number=self._summaries,
             run="",
-            rank=0,
+            sequence=0,
             gateways=len(ranks),
             work=add_work(fresh),
-            taken=self._party.list_taken(),
+            recent_usage=self._party.list_taken(),
             read_age=self._find_read_age(),
         )
         for each in mine:
             run, rank = ranks.get(each.name, ("", 0))
-            own = summary._replace(run=run, rank=rank)
+            own = summary._replace(run=run, sequence=rank)
             target = parse_address(each.address)
             self._post.send(own, [target])
 
@@ -225,7 +227,7 @@
         key = f"{report.name}/{report.run}"
         now = self._now()
         held = self.held.get(key)
-        if held is not None and held[1].rank >= report.rank:
+        if held is not None and held[1].sequence >= report.sequence:
             return False
         self.held[key] = (now, report)
         return True
@@ -235,21 +237,21 @@
         for key in [k for k, (at, _) in self.held.items() if at < oldest]:
             del self.held[key]
 
-    def _take_summary(self, summary: Summary, sender: Address) -> None:
+    def _take_summary(self, summary: HubSummary, sender: Address) -> None:
         """Take a hub's sums, less what this gateway has in them itself."""
         before = self._numbers.get(summary.hub, 0)
         if self.is_hub() or before >= summary.number:
             return
         # Nothing of this run is in sums that name another one.
         mine = summary.run == self.run_id
-        sent = self._sent.get(summary.rank) if mine else None
+        sent = self._sent.get(summary.sequence) if mine else None
         if mine and sent is None:
             return
         self._numbers[summary.hub] = summary.number
         self._summary = (self._now(), summary)
         self._others = subtract_work(summary.work, sent.work if sent else {})
         since = sent.at if sent else 0.0
-        self._party.hear_taken(summary.taken, since)
+        self._party.hear_taken(summary.recent_usage, since)
 
     # Views
 
--- a/lagoonpost/forwarding/shared.py
+++ b/lagoonpost/forwarding/shared.py
@@ -19,10 +19,10 @@
 from lagoonpost.store.store import Store, Unavailable, Write
 from lagoonpost.systems.hub import Roles, choose_roles, should_read_store
 from lagoonpost.systems.poison import BrokenAnswer
+from lagoonpost.tables.control_traffic import ControlTraffic
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
 from lagoonpost.tables.stamp import find_era
-from lagoonpost.tables.traffic import Traffic
 
 CONFIGURATION_DOCUMENT = "configuration"
 BREAK_SECONDS = 60.0
@@ -86,7 +86,7 @@
         on_recorded: Callable[[str, float], None],
         on_era: Callable[[int], None],
         rng: random.Random,
-        traffic: Traffic,
+        traffic: ControlTraffic,
     ) -> None:
         self._settings = settings
         self._bounds = settings.bounds
--- a/lagoonpost/forwarding/shifts.py
+++ b/lagoonpost/forwarding/shifts.py
@@ -29,16 +29,16 @@
 from lagoonpost.tables.gateway_report import GatewayReport
 from lagoonpost.tables.stamp import find_era, find_version
 from lagoonpost.tables.version_shift import (
-    PHASES,
-    Phase,
+    SHIFT_PHASES,
     ShiftOrder,
+    ShiftPhase,
     VersionCounts,
     add_counts,
 )
 
 Counts = dict[str, VersionCounts]
-ENDS: tuple[Phase, ...] = ("complete", "taken_back")
-BAD: tuple[Phase, ...] = ("taken_back",)
+ENDS: tuple[ShiftPhase, ...] = ("complete", "taken_back")
+BAD: tuple[ShiftPhase, ...] = ("taken_back",)
 
 
 class _Told(NamedTuple):
@@ -53,7 +53,7 @@
     """
 
     order: ShiftOrder
-    phase: Phase
+    phase: ShiftPhase
     before: int = 0
 
 
@@ -62,16 +62,18 @@
 
     def __init__(self, order: ShiftOrder) -> None:
         self.order = order
-        self.phase: Phase = "trial"
+        self.phase: ShiftPhase = "trial"
         self.exposure = Exposure()
         self.counts: Counts = {}
         self.judge = ShiftEvaluator(order, read_clock())
-        self.told: Phase | None = None
+        self.told: ShiftPhase | None = None
 
     @property
     def rank(self) -> int:
         """Grows with each order, and with each phase of one."""
-        return self.order.number * len(PHASES) + PHASES.index(self.phase)
+        return self.order.number * len(SHIFT_PHASES) + SHIFT_PHASES.index(
+            self.phase
+        )
 
 
 class Shifts:
@@ -129,7 +131,7 @@
         if 0 <= age <= shift.order.seconds:
             shift.judge.merge_start(read_clock() - age)
 
-    def _take(self, order: ShiftOrder, phase: Phase, source: str) -> bool:
+    def _take(self, order: ShiftOrder, phase: ShiftPhase, source: str) -> bool:
         """Take what is newer; tell whether it was."""
         held = self._shifts.get(order.service)
         if held is not None and self._is_older_copy(held, order):
@@ -137,12 +139,12 @@
         self._orders.add(_name_content(order))
         if held is not None and _is_written_again(held.order, order):
             held.order = order
-            phase = max(held.phase, phase, key=PHASES.index)
+            phase = max(held.phase, phase, key=SHIFT_PHASES.index)
         elif held is None or held.order.number < order.number:
             held = self._shifts[order.service] = _Shift(order)
-        elif held.order.number > order.number or PHASES.index(
+        elif held.order.number > order.number or SHIFT_PHASES.index(
             held.phase
-        ) >= PHASES.index(phase):
+        ) >= SHIFT_PHASES.index(phase):
             return False
         held.phase = phase
         if phase == "all":
@@ -257,7 +259,7 @@
                 await self._tell_operators(shift, store, may_go_on)
             if not may_go_on():
                 return
-            self._judge(shift, held, PHASES)
+            self._judge(shift, held, SHIFT_PHASES)
             if shift.told is not None:
                 await self._tell_operators(shift, store, may_go_on)
 
@@ -284,7 +286,7 @@
         self,
         shift: _Shift,
         held: list[GatewayReport],
-        allowed: Collection[Phase],
+        allowed: Collection[ShiftPhase],
     ) -> None:
         service = shift.order.service
         counts = _sum_counts(held, service)
@@ -356,7 +358,7 @@
 def _sum_counts(reports: Iterable[GatewayReport], service: str) -> Counts:
     total: Counts = {}
     for report in reports:
-        for route, counts in report.versions.get(service, {}).items():
+        for route, counts in report.shift_counts.get(service, {}).items():
             before = total.get(route, VersionCounts())
             total[route] = add_counts(before, counts)
     return total
--- a/lagoonpost/gateway/booking_answer.py
+++ b/lagoonpost/gateway/booking_answer.py
@@ -40,7 +40,7 @@
 
 def _earlier(outcome: Earlier, wall: float) -> Response:
     entry = outcome.entry
-    if entry.answer is not None and entry.answer.whole:
+    if entry.answer is not None and entry.answer.complete:
         return _pass(entry.answer)
     if entry.state == "recorded":
         return make_problem(
@@ -55,7 +55,7 @@
 
 
 def _unanswered(entry: LedgerEntry, wall: float) -> Response:
-    if entry.state == "claimed" and wall < entry.until:
+    if entry.state == "claimed" and wall < entry.claim_deadline:
         return make_problem(
             409,
             "In progress",
--- a/lagoonpost/gateway/moves.py
+++ b/lagoonpost/gateway/moves.py
@@ -19,7 +19,7 @@
     finish_move,
 )
 from lagoonpost.systems.rollout import Outcome, Report, Rollout
-from lagoonpost.tables.entity import Declaration, Move, Runner
+from lagoonpost.tables.entity import Declaration, Runner, VersionMove
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.request import RequestRow
 
@@ -33,7 +33,7 @@
 STORE_PREFIX = "move/"
 
 
-def make_key(move: Move) -> str:
+def make_key(move: VersionMove) -> str:
     """Return the key of a move, the same on all gateways."""
     return f"{move.service}/{move.ticket}"
 
@@ -150,7 +150,7 @@
                 "reason": rollout.row.reason,
                 "share": round(self.share(rollout.row.move.service), 4),
                 "evidence": rollout.describe_evidence(),
-                "seconds_left": round(rollout.row.move.by - now, 1),
+                "seconds_left": round(rollout.row.move.deadline - now, 1),
             }
             for rollout in self._rollouts.values()
         ]
@@ -172,7 +172,7 @@
             if rollout.row.move.service == service
         ]
 
-    async def _begin(self, key: str, move: Move, now: float) -> None:
+    async def _begin(self, key: str, move: VersionMove, now: float) -> None:
         row = self._rows.get(key)
         if row is None:
             row = await self._read_row(key)
@@ -190,7 +190,7 @@
             self._rollouts[key].add_report(report)
         self._log(row)
 
-    def _make_row(self, move: Move, now: float) -> MoveRow:
+    def _make_row(self, move: VersionMove, now: float) -> MoveRow:
         begun = begin_move(move, now)
         if not isinstance(begun, DeadlineTooNear):
             return begun
@@ -221,7 +221,7 @@
         self._publish(Fact("version_tripped", key, 1, body))
         self._log(row)
 
-    def _has_runner(self, move: Move) -> bool:
+    def _has_runner(self, move: VersionMove) -> bool:
         return any(
             runner.service == move.service
             and runner.version == move.to_version
--- a/lagoonpost/gateway/tickets.py
+++ b/lagoonpost/gateway/tickets.py
@@ -21,8 +21,8 @@
 from lagoonpost.systems.ticket import find_unreachable_deadlines
 from lagoonpost.tables.ticket import (
     Accepted,
-    Fault,
-    Faults,
+    FieldError,
+    InvalidTicket,
     NotRun,
     Refused,
     TicketOutcome,
@@ -85,8 +85,8 @@
         except msgspec.DecodeError as error:
             return _make_problem(400, "not_json", str(error), "not_run")
         ticket = parse_ticket(content)
-        if isinstance(ticket, Faults):
-            invalid = Refused("invalid", "not a ticket", ticket.faults)
+        if isinstance(ticket, InvalidTicket):
+            invalid = Refused("invalid", "not a ticket", ticket.errors)
             return _answer(invalid)
         outcome = await self._intake.submit(ticket, operator)
         if isinstance(outcome, Accepted):
@@ -141,7 +141,7 @@
     return plain and int(text) <= MAX_NUMBER
 
 
-def _accept(record: TicketRecord, near: Sequence[Fault]) -> Response:
+def _accept(record: TicketRecord, near: Sequence[FieldError]) -> Response:
     body = format_record(record)
     del body["objects"]
     warnings = [str(fault) for fault in near]
--- a/lagoonpost/peers/codec.py
+++ b/lagoonpost/peers/codec.py
@@ -6,7 +6,7 @@
 import msgspec
 from grpclib.encoding.base import CodecBase
 
-from lagoonpost.tables.traffic import Traffic
+from lagoonpost.tables.control_traffic import ControlTraffic
 
 
 @cache
@@ -23,8 +23,8 @@
 
     __content_subtype__ = "msgpack"
 
-    def __init__(self, traffic: Traffic | None = None) -> None:
-        self._traffic = traffic or Traffic()
+    def __init__(self, traffic: ControlTraffic | None = None) -> None:
+        self._traffic = traffic or ControlTraffic()
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         """Return the message as MessagePack."""
--- a/lagoonpost/peers/node.py
+++ b/lagoonpost/peers/node.py
@@ -49,9 +49,9 @@
     Reply,
     Tick,
 )
+from lagoonpost.tables.control_traffic import ControlTraffic
 from lagoonpost.tables.fact import Fact, FactKind
 from lagoonpost.tables.peer import Member, PeerRole
-from lagoonpost.tables.traffic import Traffic
 
 # News of one burst leaves in one packet; ten hops still take only 0.2 s.
 FLUSH_SECONDS = 0.02
@@ -106,7 +106,7 @@
         on_hand_over: OnHandOver = refuse_hand_over,
         clock: Callable[[], float] | None = None,
         rng: random.Random | None = None,
-        traffic: Traffic | None = None,
+        traffic: ControlTraffic | None = None,
         post: Post | None = None,
     ) -> None:
         """Prepare; nothing runs before ``start``.
--- a/lagoonpost/peers/post.py
+++ b/lagoonpost/peers/post.py
@@ -16,10 +16,10 @@
 from lagoonpost.http.message import Address
 from lagoonpost.peers.datagram import Datagrams
 from lagoonpost.peers.message import Ask, Told
-from lagoonpost.tables.gateway_report import GatewayReport, Summary
-from lagoonpost.tables.traffic import Traffic
+from lagoonpost.tables.control_traffic import ControlTraffic
+from lagoonpost.tables.gateway_report import GatewayReport, HubSummary
 
-Letter = GatewayReport | Summary | Ask | Told
+Letter = GatewayReport | HubSummary | Ask | Told
 Kind = Literal["report", "summary", "ask", "told"]
 
 
@@ -32,7 +32,7 @@
 
 _TYPES: dict[Kind, Any] = {
     "report": GatewayReport,
-    "summary": Summary,
+    "summary": HubSummary,
     "ask": Ask,
     "told": Told,
 }
@@ -67,8 +67,8 @@
         traffic: Counts the letters by kind.
     """
 
-    def __init__(self, traffic: Traffic | None = None) -> None:
-        self._traffic = traffic or Traffic()
+    def __init__(self, traffic: ControlTraffic | None = None) -> None:
+        self._traffic = traffic or ControlTraffic()
         self._handlers: dict[type, Callable[[Any, Address], None]] = {}
         self._datagrams = Datagrams(self._take)
 
--- a/lagoonpost/platform/configuration.py
+++ b/lagoonpost/platform/configuration.py
@@ -11,7 +11,7 @@
     RouteKind,
     Scaling,
     Service,
-    Share,
+    TrafficShare,
     Workspace,
 )
 
@@ -69,7 +69,7 @@
         prefix=str(value["prefix"]),
         kind=_KINDS[value["kind"]],
         shares=tuple(
-            Share(str(each["service"]), float(each["weight"]))
+            TrafficShare(str(each["service"]), float(each["weight"]))
             for each in split
         ),
         timeout=timeout / MILLISECONDS,
@@ -99,9 +99,9 @@
         return None
     prices = value.get("zone_prices") or {}
     return Scaling(
-        least=int(value.get("min") or 0),
-        most=int(value.get("max") or 0),
-        boot=float(value.get("boot_s") or 0.0),
+        min_runners=int(value.get("min") or 0),
+        max_runners=int(value.get("max") or 0),
+        boot_seconds=float(value.get("boot_s") or 0.0),
         # Without a price there are no reclaimable runners to order.
         spot_price=float(value.get("spot_price") or 0.0),
         prices={str(zone): float(price) for zone, price in prices.items()},
@@ -117,7 +117,7 @@
         rate=float(value.get("rate_per_s") or 0.0),
         burst=float(value.get("burst") or 0.0),
         by_tokens=value.get("unit") == "tokens",
-        plain_tokens=float(value.get("plain_tokens") or 1.0),
+        default_tokens=float(value.get("plain_tokens") or 1.0),
     )
 
 
--- a/lagoonpost/platform/endpoint.py
+++ b/lagoonpost/platform/endpoint.py
@@ -63,7 +63,7 @@
             slots=entry.slots,
             leaving=_STATES[entry.state],
             spot=entry.spot,
-            leaves=None
+            leaves_in_seconds=None
             if entry.leaves_ms is None
             else entry.leaves_ms / MILLISECONDS,
             born=entry.born,
--- a/lagoonpost/platform/headers.py
+++ b/lagoonpost/platform/headers.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from lagoonpost.http.message import Address, Headers, find_header
-from lagoonpost.tables.forwarded import Arrival, Part, TokenCount
-from lagoonpost.tables.saved_run import SavedRun
+from lagoonpost.tables.kv_copy import KvCopy
+from lagoonpost.tables.metadata import PromptPart, RequestMetadata, TokenCount
 
 REQUEST_ID = "attempt-id"
 DEADLINE = "deadline-ms"
@@ -87,15 +87,15 @@
     workspace: str
     last_event: str
     urgency: int | None
-    saved: SavedRun | None = None
+    saved: KvCopy | None = None
     holder: Address | None = None
 
 
-def read_arrival(headers: Headers) -> Arrival:
+def read_arrival(headers: Headers) -> RequestMetadata:
     """Decode what a caller says of its request."""
     key = find_header(headers, KEY) or ""
     scheme, token = key[: len(KEY_SCHEME)], key[len(KEY_SCHEME) :].strip()
-    return Arrival(
+    return RequestMetadata(
         id=find_header(headers, REQUEST_ID) or "",
         host=(find_header(headers, "host") or "").lower(),
         key=token if scheme.lower() == KEY_SCHEME else "",
@@ -186,11 +186,11 @@
         return None
 
 
-def _read_parts(text: str | None) -> tuple[Part, ...]:
+def _read_parts(text: str | None) -> tuple[PromptPart, ...]:
     parts = []
     for word in (text or "").split(","):
         id_, _, tokens = word.strip().partition(":")
         if not tokens.isdecimal():
             return ()
-        parts.append(Part(id_, int(tokens)))
+        parts.append(PromptPart(id_, int(tokens)))
     return tuple(parts)
--- a/lagoonpost/platform/memory.py
+++ b/lagoonpost/platform/memory.py
@@ -4,12 +4,12 @@
 
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address, Response
-from lagoonpost.tables.saved_run import (
+from lagoonpost.tables.kv_copy import (
     Copied,
     CopyOutcome,
+    KvCopy,
     NoRoom,
     NoRun,
-    SavedRun,
     Unanswered,
 )
 
@@ -62,7 +62,7 @@
             return Unanswered(str(error))
         return _read_outcome(answer, source)
 
-    async def free(self, saved: SavedRun) -> None:
+    async def free(self, saved: KvCopy) -> None:
         """Drop the copies of a run that nobody goes on from.
 
         A runner that can't be reached drops them by itself after a while.
@@ -92,4 +92,4 @@
         return Unanswered(str(error))
     if not decoded.handle:
         return Unanswered("no handle")
-    return Copied(SavedRun(source, decoded.handle))
+    return Copied(KvCopy(source, decoded.handle))
--- a/lagoonpost/platform/rollout.py
+++ b/lagoonpost/platform/rollout.py
@@ -3,16 +3,16 @@
 import msgspec
 
 from lagoonpost.platform.configuration import UnreadableError
-from lagoonpost.tables.version_shift import Phase, ShiftOrder
+from lagoonpost.tables.version_shift import ShiftOrder, ShiftPhase
 
 ORDER_PREFIX = "rollout/"
-_STATES: dict[Phase, str] = {
+_STATES: dict[ShiftPhase, str] = {
     "trial": "active",
     "all": "active",
     "complete": "complete",
     "taken_back": "rolled_back",
 }
-_ENDS: dict[str, Phase] = {
+_ENDS: dict[str, ShiftPhase] = {
     "complete": "complete",
     "rolled_back": "taken_back",
 }
@@ -42,12 +42,12 @@
     return ShiftOrder(order.service, order.to, order.duration_s, number)
 
 
-def make_status(order: ShiftOrder, phase: Phase) -> dict[str, str]:
+def make_status(order: ShiftOrder, phase: ShiftPhase) -> dict[str, str]:
     """Return what operators are told of an order."""
     return {"state": _STATES[phase], "to": order.to}
 
 
-def decode_end(body: bytes, order: ShiftOrder) -> Phase | None:
+def decode_end(body: bytes, order: ShiftOrder) -> ShiftPhase | None:
     """Return how an order has ended by what operators were told before.
 
     Returns:
--- a/lagoonpost/platform/store.py
+++ b/lagoonpost/platform/store.py
@@ -20,7 +20,7 @@
     Write,
 )
 from lagoonpost.tables import stamp
-from lagoonpost.tables.traffic import Traffic
+from lagoonpost.tables.control_traffic import ControlTraffic
 
 # The product's own rows live in one table; the keys name what they are.
 OWN_TABLE = "lagoonpost"
@@ -98,11 +98,11 @@
         self,
         client: Client,
         address: Address,
-        traffic: Traffic | None = None,
+        traffic: ControlTraffic | None = None,
     ) -> None:
         self._client = client
         self._address = address
-        self._traffic = traffic or Traffic()
+        self._traffic = traffic or ControlTraffic()
         self.clock = RemoteClock()
         self.eras = EraWatch()
 
--- a/lagoonpost/runners/answer.py
+++ b/lagoonpost/runners/answer.py
@@ -29,8 +29,8 @@
 from lagoonpost.systems.event import Refuse
 from lagoonpost.systems.relay import Phase, Relay, step
 from lagoonpost.systems.relay_event import Execution, FailureKind
-from lagoonpost.tables.answer import Usage
 from lagoonpost.tables.entity import Runner
+from lagoonpost.tables.token_usage import TokenUsage
 
 # The move itself must be over before the runner goes.
 LEAVE_MARGIN = 0.5
@@ -80,7 +80,7 @@
     """The answer is whole."""
 
     finish_reason: str
-    usage: Usage
+    usage: TokenUsage
 
 
 class Failed(NamedTuple):
--- a/lagoonpost/runners/engine.py
+++ b/lagoonpost/runners/engine.py
@@ -7,7 +7,7 @@
 
 from lagoonpost.http.client import CallFailedError, Client, Stream
 from lagoonpost.http.message import Address, Headers, Response
-from lagoonpost.tables.report import LoadReport
+from lagoonpost.tables.load_report import LoadReport
 
 _T = TypeVar("_T")
 
--- a/lagoonpost/runners/sse.py
+++ b/lagoonpost/runners/sse.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lagoonpost.tables.answer import Usage
+from lagoonpost.tables.token_usage import TokenUsage
 
 # Bytes of one event; a token with its frame has a few hundred.
 MOST_REST = 1024 * 1024
@@ -29,7 +29,7 @@
     """The closing event: the answer has ``usage.completion_tokens``."""
 
     finish_reason: str
-    usage: Usage
+    usage: TokenUsage
 
 
 class EngineError(NamedTuple):
@@ -52,7 +52,7 @@
 
 class _Chunk(msgspec.Struct, gc=False):
     choices: tuple[_Choice, ...] = ()
-    usage: Usage | None = None
+    usage: TokenUsage | None = None
     error: msgspec.Raw | None = None
 
 
--- a/lagoonpost/store/era.py
+++ b/lagoonpost/store/era.py
@@ -4,7 +4,7 @@
 
 import eliot
 
-from lagoonpost.tables.stamp import MOST_ERAS
+from lagoonpost.tables.stamp import MAX_ERA
 
 
 class EraWatch:
@@ -67,4 +67,4 @@
     if not text.isascii() or not text.isdigit():
         return None
     era = int(text)
-    return era if era <= MOST_ERAS else None
+    return era if era <= MAX_ERA else None
--- a/lagoonpost/systems/attempt.py
+++ b/lagoonpost/systems/attempt.py
@@ -27,7 +27,7 @@
     Refuse,
 )
 from lagoonpost.systems.pool import Moved, Pool
-from lagoonpost.tables.load import Flight, RunnerLoad
+from lagoonpost.tables.load import InFlightRequest, RunnerLoad
 from lagoonpost.tables.request import RequestRow
 
 REFUSED_BASE_SECONDS = 0.05
@@ -42,10 +42,10 @@
     flight = pool.flights.get(event.request_id)
     if flight is None or flight.runner != event.runner:
         return
-    if flight.first is not None or pool.service.kind == "plain":
+    if flight.first_part_at is not None or pool.service.kind == "plain":
         return
-    pool.flights[event.request_id] = flight._replace(first=now)
-    seconds = now - flight.dispatched
+    pool.flights[event.request_id] = flight._replace(first_part_at=now)
+    seconds = now - flight.dispatched_at
     load = pool.loads.get(flight.runner)
     if load is not None:
         load.awaiting.pop(event.request_id, None)
@@ -61,7 +61,7 @@
     forget(pool, request.id)
     if flight is None:
         return
-    seconds = now - flight.dispatched
+    seconds = now - flight.dispatched_at
     cost = flight.cost
     if pool.service.kind == "model" and event.tokens:
         cost = 1.0 + flight.prefill / PREFILL_RATIO + event.tokens
@@ -100,7 +100,7 @@
     if load is not None and refused:
         pool.take_refusal(load, now, rng)
     elif load is not None:
-        sent = flight.dispatched if flight else now
+        sent = flight.dispatched_at if flight else now
         record_failure(pool, load, event.kind, sent, now)
     if not event.retry:
         forget(pool, request.id)
@@ -121,13 +121,13 @@
     pool: Pool,
     request: RequestRow,
     event: AttemptFailed,
-    flight: Flight | None,
+    flight: InFlightRequest | None,
     now: float,
     rng: Random,
 ) -> None:
     tried = pool.tried.setdefault(request.id, set())
     tried.add(event.runner)
-    begun = flight is not None and flight.first is not None
+    begun = flight is not None and flight.first_part_at is not None
     accepted = begun or event.kind in ("lost", "silent", "unreached")
     delay = 0.0
     if not accepted:
@@ -137,8 +137,12 @@
 
 
 def _judge(
-    pool: Pool, load: RunnerLoad, seconds: float, flight: Flight, now: float
+    pool: Pool,
+    load: RunnerLoad,
+    seconds: float,
+    flight: InFlightRequest,
+    now: float,
 ) -> None:
-    if flight.expected > 0:
-        ratio = seconds / flight.expected
-        record_outcome(pool, load, ratio, flight.dispatched, now)
+    if flight.expected_seconds > 0:
+        ratio = seconds / flight.expected_seconds
+        record_outcome(pool, load, ratio, flight.dispatched_at, now)
--- a/lagoonpost/systems/dispatch.py
+++ b/lagoonpost/systems/dispatch.py
@@ -23,7 +23,7 @@
     choose_runner,
     count_version,
 )
-from lagoonpost.tables.load import Flight, RunnerLoad
+from lagoonpost.tables.load import InFlightRequest, RunnerLoad
 from lagoonpost.tables.request import RequestRow
 
 # One event's work is bounded; what is left goes at the next event or tick.
@@ -97,7 +97,7 @@
     return actions
 
 
-def land(pool: Pool, request_id: str, now: float) -> Flight | None:
+def land(pool: Pool, request_id: str, now: float) -> InFlightRequest | None:
     """Take a request off its runner's count and return its flight."""
     flight = pool.flights.pop(request_id, None)
     if flight is None:
@@ -223,7 +223,9 @@
     """Count a request that already runs there, for a caller who is back."""
     _launch(pool, request, load, 0, 0.0, now)
     # Its first part went out long ago: it says nothing of the runner now.
-    pool.flights[request.id] = pool.flights[request.id]._replace(first=now)
+    pool.flights[request.id] = pool.flights[request.id]._replace(
+        first_part_at=now
+    )
     load.awaiting.pop(request.id, None)
 
 
@@ -236,7 +238,7 @@
     now: float,
 ) -> None:
     cost = count_tokens(request)
-    pool.flights[request.id] = Flight(
+    pool.flights[request.id] = InFlightRequest(
         load.runner.name,
         load.runner.version,
         request.workspace,
--- a/lagoonpost/systems/earlier_use.py
+++ b/lagoonpost/systems/earlier_use.py
@@ -12,7 +12,7 @@
 from lagoonpost.systems.quota_limit import find_burst, find_first, find_limit
 from lagoonpost.systems.use_window import Use, UseWindow
 from lagoonpost.tables.configuration import Workspace
-from lagoonpost.tables.gateway_report import Taken
+from lagoonpost.tables.gateway_report import UsageByAge
 from lagoonpost.tables.quota import QuotaBounds
 
 
@@ -44,7 +44,7 @@
             return False
         return now - self._started < self._bounds.window
 
-    def take_records(self, records: Taken, now: float) -> None:
+    def take_records(self, records: UsageByAge, now: float) -> None:
         """Take what the store has of the use before this start."""
         self._records = {
             name: [Use(now - age, units) for age, units in taken]
--- a/lagoonpost/systems/ejection.py
+++ b/lagoonpost/systems/ejection.py
@@ -83,13 +83,13 @@
         now: Time in seconds.
     """
     health = load.health
-    if sent < health.since and health.state != "healthy":
+    if sent < health.changed_at and health.state != "healthy":
         # The request was sent before the runner's state last changed, so its
         # outcome says nothing about the present state.
         return
     log_ratio = math.log(min(max(ratio, 1 / MAX_RATIO), MAX_RATIO))
     if ratio < SLOW_RATIO:
-        health.lost = 0
+        health.consecutive_losses = 0
     if health.state == "healthy":
         health.score += SCORE_GAIN * (log_ratio - health.score)
         return
@@ -119,8 +119,11 @@
     record_outcome(pool, load, FAILURE_RATIO, sent, now)
     if kind not in CONNECTION_FAILURES:
         return
-    health.lost += 1
-    if health.lost >= LOST_CONNECTIONS_TO_EJECT and health.state == "healthy":
+    health.consecutive_losses += 1
+    if (
+        health.consecutive_losses >= LOST_CONNECTIONS_TO_EJECT
+        and health.state == "healthy"
+    ):
         _eject(health, load.own, now)
         pool.count_slots()
 
@@ -199,7 +202,7 @@
     """
     for load in loads:
         health = load.health
-        due = now >= health.probe_at and pool.sent >= health.probe_from
+        due = now >= health.probe_at and pool.sent >= health.probe_after_sent
         if health.state != "ejected" or not due:
             continue
         if load.runner.name not in tried and not load.exclusive:
@@ -209,9 +212,9 @@
 
 def schedule_next_probe(pool: Pool, health: Health, now: float) -> None:
     """Schedule the next probe after one was sent."""
-    health.probe_wait = min(health.probe_wait * 2, MAX_PROBE_SECONDS)
-    health.probe_at = now + health.probe_wait
-    health.probe_from = pool.sent + REQUESTS_PER_PROBE
+    health.probe_interval = min(health.probe_interval * 2, MAX_PROBE_SECONDS)
+    health.probe_at = now + health.probe_interval
+    health.probe_after_sent = pool.sent + REQUESTS_PER_PROBE
 
 
 def _score(pool: Pool, load: RunnerLoad, now: float) -> float:
@@ -220,9 +223,12 @@
     score = load.health.score
     for request_id in list(load.awaiting)[:MAX_OVERDUE_CHECKED]:
         flight = pool.flights[request_id]
-        if flight.expected <= 0 or flight.dispatched < load.health.since:
+        if (
+            flight.expected_seconds <= 0
+            or flight.dispatched_at < load.health.changed_at
+        ):
             continue
-        ratio = (now - flight.dispatched) / flight.expected
+        ratio = (now - flight.dispatched_at) / flight.expected_seconds
         if ratio > SLOW_RATIO:
             log_ratio = math.log(min(ratio, MAX_RATIO))
             score += SCORE_GAIN * (log_ratio - score)
@@ -232,25 +238,25 @@
 def _eject(health: Health, own: int, now: float) -> None:
     repeated = health.state != "healthy"
     if health.state != "ejected":
-        health.ceiling = max(1.0, min(own, health.limit) / 2)
+        health.slow_threshold = max(1.0, min(own, health.limit) / 2)
     health.state = "ejected"
     health.limit = 0.0
     health.score = 0.0
-    health.since = now
+    health.changed_at = now
     if not repeated:
-        health.probe_wait = MIN_PROBE_SECONDS / 2
+        health.probe_interval = MIN_PROBE_SECONDS / 2
         health.probe_at = now + MIN_PROBE_SECONDS
 
 
 def _raise_limit(health: Health, slots: int, now: float) -> None:
-    if health.limit < health.ceiling:
-        health.limit = min(health.limit * 2, health.ceiling)
-        health.since = now
-    elif now - health.since >= LIMIT_STEP_SECONDS:
+    if health.limit < health.slow_threshold:
+        health.limit = min(health.limit * 2, health.slow_threshold)
+        health.changed_at = now
+    elif now - health.changed_at >= LIMIT_STEP_SECONDS:
         health.limit += 1
-        health.since = now
+        health.changed_at = now
     if health.limit >= slots:
         health.state = "healthy"
         health.limit = math.inf
-        health.ceiling = math.inf
+        health.slow_threshold = math.inf
         health.score = 0.0
--- a/lagoonpost/systems/event.py
+++ b/lagoonpost/systems/event.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from lagoonpost.tables.entity import Declaration
-from lagoonpost.tables.report import LoadReport
+from lagoonpost.tables.load_report import LoadReport
 from lagoonpost.tables.request import RequestRow
 
 
--- a/lagoonpost/systems/gossip.py
+++ b/lagoonpost/systems/gossip.py
@@ -279,8 +279,8 @@
             sender=view.me.name,
             current=self.current(now),
             differs=packet.root != view.root(),
-            members=view.members.pick(wanted),
-            facts=view.facts.pick(wanted),
+            members=view.members.list_bucket_rows(wanted),
+            facts=view.facts.list_bucket_rows(wanted),
             wanted=wanted,
         )
 
@@ -321,8 +321,8 @@
     ) -> list[Action]:
         view = self.view
         theirs = frozenset((*reply.members, *reply.facts))
-        members = view.members.pick(reply.wanted)
-        facts = view.facts.pick(reply.wanted)
+        members = view.members.list_bucket_rows(reply.wanted)
+        facts = view.facts.list_bucket_rows(reply.wanted)
         packet = Packet(
             view.me.name,
             tuple(row for row in members if row not in theirs),
--- a/lagoonpost/systems/home.py
+++ b/lagoonpost/systems/home.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost.tables.forwarded import Part
+from lagoonpost.tables.metadata import PromptPart
 
 LEAST_COPIED = 1500
 """Shared tokens from which a copy is asked for: it takes some ten milliseconds
@@ -38,7 +38,7 @@
         self._ranked: OrderedDict[str, _Ranked] = OrderedDict()
 
     def rank(
-        self, endpoints: tuple[Endpoint, ...], parts: Sequence[Part]
+        self, endpoints: tuple[Endpoint, ...], parts: Sequence[PromptPart]
     ) -> list[Endpoint]:
         """Return what `rank_homes` does."""
         if len(parts) < 2:
@@ -55,7 +55,7 @@
 
 
 def rank_homes(
-    endpoints: Sequence[Endpoint], parts: Sequence[Part]
+    endpoints: Sequence[Endpoint], parts: Sequence[PromptPart]
 ) -> list[Endpoint]:
     """Return the runners in the order in which a session prefers them.
 
@@ -72,7 +72,7 @@
 
 
 def find_holder(
-    order: Iterable[Endpoint], target: Endpoint, parts: Sequence[Part]
+    order: Iterable[Endpoint], target: Endpoint, parts: Sequence[PromptPart]
 ) -> Endpoint | None:
     """Return the runner from which a prompt's shared parts may be copied.
 
--- a/lagoonpost/systems/ledger.py
+++ b/lagoonpost/systems/ledger.py
@@ -259,7 +259,7 @@
 def _limit_body(answer: RecordedAnswer) -> RecordedAnswer:
     if len(answer.body) <= MAX_RECORDED_BODY_BYTES:
         return answer
-    return answer._replace(body=b"", whole=False)
+    return answer._replace(body=b"", complete=False)
 
 
 def _record(attempt: Attempt, entry: LedgerEntry, outcome: Outcome) -> Step:
@@ -378,4 +378,6 @@
         entries: Ledger entries by key.
         wall: Wall clock time, in seconds.
     """
-    return tuple(key for key, entry in entries.items() if entry.expires < wall)
+    return tuple(
+        key for key, entry in entries.items() if entry.expires_at < wall
+    )
--- a/lagoonpost/systems/move.py
+++ b/lagoonpost/systems/move.py
@@ -26,7 +26,7 @@
 
 import xxhash
 
-from lagoonpost.tables.entity import Move
+from lagoonpost.tables.entity import VersionMove
 
 
 class Stage(NamedTuple):
@@ -84,7 +84,7 @@
         ended: Time at which the move ended.
     """
 
-    move: Move
+    move: VersionMove
     started: float
     end: float
     outcome: Outcome = "moving"
@@ -110,7 +110,7 @@
 
 
 def begin_move(
-    move: Move, now: float, load_seconds: float = 0.0
+    move: VersionMove, now: float, load_seconds: float = 0.0
 ) -> MoveRow | DeadlineTooNear:
     """Begin the ramp, or return that the deadline is too near.
 
@@ -118,10 +118,12 @@
     with 0 once the version is loaded, as the weight store may be slow.
     """
     earliest = compute_earliest_deadline(now, load_seconds)
-    if move.by < earliest:
+    if move.deadline < earliest:
         return DeadlineTooNear(earliest)
     started = now + load_seconds
-    end = min(move.by - DEADLINE_MARGIN_SECONDS, started + MAX_RAMP_SECONDS)
+    end = min(
+        move.deadline - DEADLINE_MARGIN_SECONDS, started + MAX_RAMP_SECONDS
+    )
     return MoveRow(move, started, end)
 
 
--- a/lagoonpost/systems/placement.py
+++ b/lagoonpost/systems/placement.py
@@ -22,8 +22,8 @@
 
 from lagoonpost.systems.home import HomeOrders, find_holder
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost.tables.forwarded import Part
 from lagoonpost.tables.gateway_report import RunnerWork
+from lagoonpost.tables.metadata import PromptPart
 
 FIRST_TOKEN_PACE = 1 / 30_000
 """Seconds a prompt token until something is measured: what engines of today
@@ -74,7 +74,7 @@
 
     service: str
     prompt: int
-    parts: tuple[Part, ...]
+    parts: tuple[PromptPart, ...]
     engine: bool
 
 
@@ -154,7 +154,7 @@
         """Tell whether it could not be reached lately."""
         return now < self._suspect_until
 
-    def note_parts(self, parts: Iterable[Part], now: float) -> None:
+    def note_parts(self, parts: Iterable[PromptPart], now: float) -> None:
         """Remember that it reads these parts."""
         for part in parts:
             self._parts[part.id] = now
@@ -164,7 +164,7 @@
                 id_: used for id_, used in self._parts.items() if used > oldest
             }
 
-    def count_held(self, parts: Sequence[Part], now: float) -> int:
+    def count_held(self, parts: Sequence[PromptPart], now: float) -> int:
         """Return the tokens at a prompt's beginning that it holds."""
         held = 0
         for part in parts:
--- a/lagoonpost/systems/pool.py
+++ b/lagoonpost/systems/pool.py
@@ -16,8 +16,8 @@
     Runner,
     Service,
 )
-from lagoonpost.tables.load import Flight, RunnerLoad
-from lagoonpost.tables.report import LoadReport
+from lagoonpost.tables.load import InFlightRequest, RunnerLoad
+from lagoonpost.tables.load_report import LoadReport
 from lagoonpost.tables.request import RequestRow
 
 # A report's view of other gateways' work fades into the mean of all runners
@@ -111,7 +111,7 @@
     domains: int = 1
     used: dict[str, float] = field(default_factory=dict)
     bias: dict[tuple[RequestClass, str], float] = field(default_factory=dict)
-    flights: dict[str, Flight] = field(default_factory=dict)
+    flights: dict[str, InFlightRequest] = field(default_factory=dict)
     queues: dict[RequestClass, FairQueue] = field(
         default_factory=lambda: {name: FairQueue() for name in CLASSES}
     )
@@ -150,7 +150,7 @@
     def occupancy(self, load: RunnerLoad, now: float) -> float:
         """Return a runner's requests: own, and others' by aged report."""
         mean = self.others / max(1, len(self.loads))
-        fresh = math.exp((load.measured - now) / REPORT_FADE)
+        fresh = math.exp((load.measured_at - now) / REPORT_FADE)
         return load.own + fresh * load.others + (1.0 - fresh) * mean
 
     def take_report(self, report: LoadReport, now: float, rng: Random) -> None:
@@ -159,14 +159,14 @@
         A report that was overtaken by a newer one is dropped.
         """
         load = self.loads.get(report.runner)
-        if load is None or report.measured <= load.measured:
+        if load is None or report.measured_at <= load.measured_at:
             return
         if load.reported:
-            gap = now - load.measured
+            gap = now - load.measured_at
             self.gap += REPORT_GAIN * (gap - self.gap)
-        own = load.own_at(report.measured)
+        own = load.own_at(report.measured_at)
         others = max(0.0, report.running + report.waiting - own)
-        self.set_others(load, others, report.measured)
+        self.set_others(load, others, report.measured_at)
         self.set_quota(load, own, rng)
 
     def set_others(
@@ -175,7 +175,7 @@
         """Set what other gateways have at a runner."""
         self.others = max(0.0, self.others + others - load.others)
         load.others = others
-        load.measured = measured
+        load.measured_at = measured
 
     def set_quota(self, load: RunnerLoad, own: int, rng: Random) -> None:
         """Set how many requests we may have at a runner.
--- a/lagoonpost/systems/quota.py
+++ b/lagoonpost/systems/quota.py
@@ -27,8 +27,8 @@
 from lagoonpost.systems.quota_limit import find_burst, find_limit
 from lagoonpost.systems.use_window import Use, UseWindow, sum_recent
 from lagoonpost.tables.configuration import Workspace
-from lagoonpost.tables.gateway_report import Taken
-from lagoonpost.tables.quota import QuotaBounds, Weighed
+from lagoonpost.tables.gateway_report import UsageByAge
+from lagoonpost.tables.quota import QuotaBounds, QuotaCheck
 
 SHORTEST_WAIT = 0.2
 """Least seconds to tell a refused caller; news is about as old."""
@@ -66,7 +66,7 @@
         self, bounds: QuotaBounds, started: float | None = None
     ) -> None:
         self.used: dict[str, float] = {}
-        self.weighed: Weighed | None = None
+        self.weighed: QuotaCheck | None = None
         self.earlier = EarlierUse(bounds, started)
         self._bounds = bounds
         self._windows: dict[str, UseWindow] = {}
@@ -118,7 +118,7 @@
 
     def _weigh(
         self, workspace: Workspace, part: float, now: float, gateways: int
-    ) -> Weighed:
+    ) -> QuotaCheck:
         name = workspace.name
         limit = self.limit(workspace)
         burst = find_burst(self._bounds, workspace)
@@ -127,10 +127,10 @@
         burst -= self.earlier.find_excess(workspace, recorded_at, now)
         earlier = self.earlier.sum(name, now)
         unheard, repeated = self._expect_unheard(name, gateways * part, now)
-        return Weighed(
+        return QuotaCheck(
             used=self._sum(name, now),
-            unheard=unheard,
-            repeated=repeated,
+            unreported=unheard,
+            unreported_beyond_largest=repeated,
             # Of what is left, each part of the gateways has its own.
             limit=earlier + (limit - earlier) * part,
             excess=self._find_excess(workspace, part, now),
@@ -140,15 +140,20 @@
     def _find_wait(
         self,
         workspace: Workspace,
-        weighed: Weighed,
+        weighed: QuotaCheck,
         cost: float,
         part: float,
         now: float,
     ) -> float:
         """Return the seconds until the request would be let through."""
-        over = weighed.excess + weighed.repeated + cost - weighed.burst
+        over = (
+            weighed.excess
+            + weighed.unreported_beyond_largest
+            + cost
+            - weighed.burst
+        )
         over = min(weighed.excess, over)
-        more = weighed.used + weighed.unheard + cost - weighed.limit
+        more = weighed.used + weighed.unreported + cost - weighed.limit
         wait = max(
             over / (workspace.rate * part),
             self._find_window(workspace.name).find_wait(more, now),
@@ -307,7 +312,7 @@
 
     def list_taken(
         self, now: float, workspaces: Iterable[Workspace] = ()
-    ) -> Taken:
+    ) -> UsageByAge:
         """Return what all let through within the window, by its age.
 
         Args:
@@ -322,7 +327,7 @@
         }
         return {name: ages for name, ages in listed.items() if ages}
 
-    def hear_all(self, taken: Taken, since: float, now: float) -> None:
+    def hear_all(self, taken: UsageByAge, since: float, now: float) -> None:
         """Take a hub's sums in place of all that was known of others.
 
         Args:
--- a/lagoonpost/systems/relay_event.py
+++ b/lagoonpost/systems/relay_event.py
@@ -2,8 +2,8 @@
 
 from typing import Literal, NamedTuple
 
-from lagoonpost.tables.answer import Usage
 from lagoonpost.tables.entity import Runner
+from lagoonpost.tables.token_usage import TokenUsage
 
 FailureKind = Literal["refused", "failed", "lost", "silent", "leaving"]
 Execution = Literal["not_run", "ran", "unknown"]
@@ -53,7 +53,7 @@
 
     attempt: int
     finish_reason: str
-    usage: Usage
+    usage: TokenUsage
 
 
 class Interrupted(NamedTuple):
@@ -169,7 +169,7 @@
     """End the answer as complete."""
 
     finish_reason: str
-    usage: Usage
+    usage: TokenUsage
 
 
 class Fail(NamedTuple):
--- a/lagoonpost/systems/scaling.py
+++ b/lagoonpost/systems/scaling.py
@@ -104,12 +104,12 @@
     least = max(LEAST_RUNNERS, math.ceil(demand.busy / BUSY_SHARE))
     total = max(least, math.ceil(demand.busy / SPOT_BUSY_SHARE))
     rest = max(LEAST_AFTER_LOSS, math.ceil(demand.busy / BUSY_AFTER_LOSS))
-    _fill(full, domains, demand.base, scaling.most, spots)
+    _fill(full, domains, demand.base, scaling.max_runners, spots)
     if 0 < scaling.spot_price < 1:
-        _spread(spots, domains, total - demand.base, scaling.most, full)
-        _raise_to_least(spots, full, scaling.least)
+        _spread(spots, domains, total - demand.base, scaling.max_runners, full)
+        _raise_to_least(spots, full, scaling.min_runners)
         while _count_after_loss(full, spots) < rest:
-            if not _spread(spots, domains, 1, scaling.most, full):
+            if not _spread(spots, domains, 1, scaling.max_runners, full):
                 break
     present = _find_spots(there)
     if ask_again:
@@ -135,7 +135,7 @@
             each: max(spots[each] if each in wet else 0, present.get(each, 0))
             for each in domains
         }
-        _fill(full, domains, missing, scaling.most, coming)
+        _fill(full, domains, missing, scaling.max_runners, coming)
     orders = [
         Order(Tenure(each, True), spots[each])
         for each in domains
--- a/lagoonpost/systems/shift.py
+++ b/lagoonpost/systems/shift.py
@@ -30,8 +30,8 @@
     is_worse,
 )
 from lagoonpost.tables.version_shift import (
-    Phase,
     ShiftOrder,
+    ShiftPhase,
     VersionCounts,
     add_counts,
     subtract_counts,
@@ -129,8 +129,11 @@
         self._counted: dict[str, VersionCounts] = {}
 
     def advance(
-        self, phase: Phase, counts: Mapping[str, VersionCounts], now: float
-    ) -> Phase:
+        self,
+        phase: ShiftPhase,
+        counts: Mapping[str, VersionCounts],
+        now: float,
+    ) -> ShiftPhase:
         """Return the next phase of the shift.
 
         Args:
--- a/lagoonpost/systems/ticket.py
+++ b/lagoonpost/systems/ticket.py
@@ -11,7 +11,7 @@
 from lagoonpost.systems.move import compute_earliest_deadline
 from lagoonpost.tables.ticket import (
     Accepted,
-    Fault,
+    FieldError,
     Refused,
     Snapshot,
     Ticket,
@@ -65,7 +65,7 @@
     return Committable(updated)
 
 
-def find_unreachable_deadlines(ticket: Ticket, now: float) -> list[Fault]:
+def find_unreachable_deadlines(ticket: Ticket, now: float) -> list[FieldError]:
     """Return the moves of ``ticket`` that cannot finish by their deadline.
 
     They are reported as warnings and not refused: a refusal that depends on
@@ -76,14 +76,14 @@
     earliest = compute_earliest_deadline(now, 0.0)
     alone = Snapshot(0, merge_objects({}, ticket.number, ticket.objects))
     return [
-        Fault(
+        FieldError(
             f"moves.{move.service}.by",
-            f"too near by {earliest - move.by:.0f} s, even if"
+            f"too near by {earliest - move.deadline:.0f} s, even if"
             f" {move.to_version} is loaded; all requests stay with"
             f" {move.from_version}",
         )
         for move in declare(alone).moves
-        if move.by < earliest
+        if move.deadline < earliest
     ]
 
 
@@ -108,7 +108,9 @@
     )
 
 
-def _find_partial_moves(ticket: Ticket, current: Snapshot) -> Iterator[Fault]:
+def _find_partial_moves(
+    ticket: Ticket, current: Snapshot
+) -> Iterator[FieldError]:
     # A ticket that changes a version in the middle of its move, or drops only
     # the move, would leave open which share is in force: the ticket's, the
     # move's, or after `done` the old version's again, with all traffic.
@@ -127,10 +129,12 @@
         for key, field in required.items():
             if key not in ticket.objects:
                 message = f"missing; the move of ticket {move.ticket} stands"
-                yield Fault(field, message)
+                yield FieldError(field, message)
 
 
-def _find_new_misfits(current: Snapshot, updated: Snapshot) -> Iterable[Fault]:
+def _find_new_misfits(
+    current: Snapshot, updated: Snapshot
+) -> Iterable[FieldError]:
     # Faults that already exist, accepted by a release with laxer checks, must
     # not block every later ticket; only new faults are refused.
     known = set(find_misfits(declare(current)))
--- a/lagoonpost/tables/configuration.py
+++ b/lagoonpost/tables/configuration.py
@@ -5,7 +5,7 @@
 RouteKind = Literal["safe", "unsafe", "stream"]
 
 
-class Share(NamedTuple):
+class TrafficShare(NamedTuple):
     """Part of a route's requests that goes to one service.
 
     Attributes:
@@ -39,7 +39,7 @@
     host: str
     prefix: str
     kind: RouteKind
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     timeout: float
     target: float
     max_attempts: int
@@ -65,9 +65,9 @@
         prices: Price of a runner's second by failure domain.
     """
 
-    least: int
-    most: int
-    boot: float
+    min_runners: int
+    max_runners: int
+    boot_seconds: float
     spot_price: float
     prices: dict[str, float]
 
@@ -112,7 +112,7 @@
     rate: float = 0.0
     burst: float = 0.0
     by_tokens: bool = False
-    plain_tokens: float = 1.0
+    default_tokens: float = 1.0
 
 
 class CallerLimits(NamedTuple):
--- a/lagoonpost/tables/traffic.py
+++ b/lagoonpost/tables/control_traffic.py
@@ -19,7 +19,7 @@
     direction: Direction
 
 
-class Traffic:
+class ControlTraffic:
     """Messages and their bytes by flow."""
 
     def __init__(self) -> None:
--- a/lagoonpost/tables/endpoint.py
+++ b/lagoonpost/tables/endpoint.py
@@ -30,5 +30,5 @@
     slots: int
     leaving: bool = False
     spot: bool = False
-    leaves: float | None = None
+    leaves_in_seconds: float | None = None
     born: int = 0
--- a/lagoonpost/tables/entity.py
+++ b/lagoonpost/tables/entity.py
@@ -4,7 +4,7 @@
 
 ServiceKind = Literal["model", "plain"]
 RequestClass = Literal["check", "booking", "draft"]
-Tenure = Literal["reclaimable", "on_demand"]
+CapacityType = Literal["reclaimable", "on_demand"]
 
 
 class Route(NamedTuple):
@@ -79,7 +79,7 @@
     ticket: int = 0
 
 
-class Move(NamedTuple):
+class VersionMove(NamedTuple):
     """Traffic of a service that goes over to another version.
 
     Attributes:
@@ -93,7 +93,7 @@
     service: str
     from_version: str
     to_version: str
-    by: float
+    deadline: float
     ticket: int = 0
 
 
@@ -113,5 +113,5 @@
     versions: tuple[Version, ...] = ()
     workspaces: tuple[Workspace, ...] = ()
     runners: tuple[Runner, ...] = ()
-    moves: tuple[Move, ...] = ()
+    moves: tuple[VersionMove, ...] = ()
     operators: tuple[Operator, ...] = ()
--- a/lagoonpost/tables/fact.py
+++ b/lagoonpost/tables/fact.py
@@ -3,7 +3,7 @@
 from math import inf
 from typing import Literal, NamedTuple
 
-from lagoonpost.tables.merged import MergedTable
+from lagoonpost.tables.merged_table import MergedTable
 
 FactKind = Literal[
     "runner_leaving",
--- a/lagoonpost/tables/gateway_report.py
+++ b/lagoonpost/tables/gateway_report.py
@@ -48,20 +48,20 @@
     recent: dict[str, float]
     begun: dict[int, dict[str, int]]
     prompt_tokens: dict[str, int]
-    waiting: dict[str, int]
-    pace: dict[str, float]
+    unread_prompt_tokens: dict[str, int]
+    seconds_per_prompt_token: dict[str, float]
     version: int
-    versions: dict[str, dict[str, VersionCounts]]
-    rank: int = 0
+    shift_counts: dict[str, dict[str, VersionCounts]]
+    sequence: int = 0
     read_age: float | None = None
 
 
-Taken = dict[str, list[tuple[float, float]]]
+UsageByAge = dict[str, list[tuple[float, float]]]
 """Units let through, by workspace, as pairs of their age in seconds and their
 number."""
 
 
-class Summary(NamedTuple):
+class HubSummary(NamedTuple):
     """What a hub says of all gateways to one of them.
 
     Attributes:
@@ -79,10 +79,10 @@
     hub: str
     number: int
     run: str
-    rank: int
+    sequence: int
     gateways: int
     work: dict[str, RunnerWork]
-    taken: Taken
+    recent_usage: UsageByAge
     read_age: float | None = None
 
 
--- a/lagoonpost/tables/health.py
+++ b/lagoonpost/tables/health.py
@@ -25,10 +25,10 @@
 
     state: HealthState = "healthy"
     score: float = 0.0
-    lost: int = 0
+    consecutive_losses: int = 0
     limit: float = math.inf
-    ceiling: float = math.inf
-    since: float = -math.inf
+    slow_threshold: float = math.inf
+    changed_at: float = -math.inf
     probe_at: float = 0.0
-    probe_from: int = 0
-    probe_wait: float = 0.0
+    probe_after_sent: int = 0
+    probe_interval: float = 0.0
--- a/lagoonpost/tables/saved_run.py
+++ b/lagoonpost/tables/kv_copy.py
@@ -5,7 +5,7 @@
 from lagoonpost.tables.address import Address
 
 
-class SavedRun(NamedTuple):
+class KvCopy(NamedTuple):
     """Memory of a run that another runner may go on from.
 
     Attributes:
@@ -20,7 +20,7 @@
 class Copied(NamedTuple):
     """The copy is whole, as of the end of the call."""
 
-    saved: SavedRun
+    saved: KvCopy
 
 
 class NoRun(NamedTuple):
--- a/lagoonpost/tables/ledger.py
+++ b/lagoonpost/tables/ledger.py
@@ -20,7 +20,7 @@
     status: int
     headers: Headers
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
 
 class LedgerEntry(NamedTuple):
@@ -46,7 +46,7 @@
     nonce: str
     digest: str
     gateway: str
-    claimed: float
-    until: float
-    expires: float
+    claimed_at: float
+    claim_deadline: float
+    expires_at: float
     answer: RecordedAnswer | None = None
--- a/lagoonpost/tables/load.py
+++ b/lagoonpost/tables/load.py
@@ -11,7 +11,7 @@
 HISTORY_SECONDS = 5.0
 
 
-class Flight(NamedTuple):
+class InFlightRequest(NamedTuple):
     """One of our requests at a runner.
 
     Attributes:
@@ -32,9 +32,9 @@
     request_class: RequestClass
     cost: float
     prefill: int
-    expected: float
-    dispatched: float
-    first: float | None = None
+    expected_seconds: float
+    dispatched_at: float
+    first_part_at: float | None = None
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     runner: Runner
     own: int = 0
     others: float = 0.0
-    measured: float = -math.inf
+    measured_at: float = -math.inf
     quota: int = 0
     ended: int = 0
     tokens: int = 0
@@ -71,7 +71,7 @@
     assigned: float = 0.0
     assigned_at: float = 0.0
     exclusive: str | None = None
-    flights: dict[str, None] = field(default_factory=dict)
+    request_ids: dict[str, None] = field(default_factory=dict)
     awaiting: dict[str, None] = field(default_factory=dict)
     changes: deque[tuple[float, int]] = field(default_factory=deque)
     health: Health = field(default_factory=Health)
@@ -79,19 +79,19 @@
     @property
     def reported(self) -> bool:
         """Whether it has ever reported its load."""
-        return self.measured > -math.inf
+        return self.measured_at > -math.inf
 
     def add(self, request_id: str, now: float) -> None:
         """Count a request that we send there."""
-        self.flights[request_id] = None
+        self.request_ids[request_id] = None
         self.awaiting[request_id] = None
         self._change(now, 1)
 
     def remove(self, request_id: str, now: float) -> bool:
         """Stop counting a request; return False if it wasn't there."""
-        if request_id not in self.flights:
+        if request_id not in self.request_ids:
             return False
-        del self.flights[request_id]
+        del self.request_ids[request_id]
         self.awaiting.pop(request_id, None)
         self._change(now, -1)
         return True
--- a/lagoonpost/tables/report.py
+++ b/lagoonpost/tables/load_report.py
@@ -16,7 +16,7 @@
     """
 
     runner: str
-    measured: float
+    measured_at: float
     running: int
     waiting: int
     pending_tokens: int
--- a/lagoonpost/tables/merged.py
+++ b/lagoonpost/tables/merged_table.py
@@ -66,7 +66,7 @@
                 del self.rows[key]
                 self.digest.toggle(key, row)
 
-    def pick(self, buckets: Iterable[int]) -> tuple[T, ...]:
+    def list_bucket_rows(self, buckets: Iterable[int]) -> tuple[T, ...]:
         """Return all rows that belong to the buckets."""
         wanted = frozenset(buckets)
         if not wanted:
--- a/lagoonpost/tables/forwarded.py
+++ b/lagoonpost/tables/metadata.py
@@ -10,14 +10,14 @@
     output: int
 
 
-class Part(NamedTuple):
+class PromptPart(NamedTuple):
     """One part of a prompt; equal parts of several requests share an id."""
 
     id: str
     tokens: int
 
 
-class Arrival(NamedTuple):
+class RequestMetadata(NamedTuple):
     """Everything a caller says that decisions look at.
 
     Attributes:
@@ -35,5 +35,5 @@
     key: str
     left: float | None
     tokens: TokenCount | None
-    parts: tuple[Part, ...]
+    parts: tuple[PromptPart, ...]
     last_event: str
--- a/lagoonpost/tables/peer.py
+++ b/lagoonpost/tables/peer.py
@@ -2,7 +2,7 @@
 
 from typing import Literal, NamedTuple
 
-from lagoonpost.tables.merged import MergedTable
+from lagoonpost.tables.merged_table import MergedTable
 
 PeerRole = Literal["gateway", "controller"]
 MemberState = Literal["alive", "suspect", "left", "dead"]
--- a/lagoonpost/tables/quota.py
+++ b/lagoonpost/tables/quota.py
@@ -19,7 +19,7 @@
     slack: float = 0.0
 
 
-class Weighed(NamedTuple):
+class QuotaCheck(NamedTuple):
     """Inputs of a decision about one request.
 
     Attributes:
@@ -33,8 +33,8 @@
     """
 
     used: float
-    unheard: float
-    repeated: float
+    unreported: float
+    unreported_beyond_largest: float
     limit: float
     excess: float
     burst: float
@@ -44,8 +44,8 @@
 
         What nobody else has used lets even the largest request through.
         """
-        used = self.used + self.unheard + cost
-        excess = self.excess + self.repeated + cost
+        used = self.used + self.unreported + cost
+        excess = self.excess + self.unreported_beyond_largest + cost
         return (self.used <= 0 or used <= self.limit) and (
             self.excess <= 0 or excess <= self.burst
         )
@@ -60,4 +60,4 @@
     """
     if not workspace.by_tokens:
         return 1.0
-    return workspace.plain_tokens if tokens is None else float(tokens)
+    return workspace.default_tokens if tokens is None else float(tokens)
--- a/lagoonpost/tables/stamp.py
+++ b/lagoonpost/tables/stamp.py
@@ -8,7 +8,7 @@
 VERSION_BITS = 40
 """Bits of a stamp for the version: 300 a second for a century."""
 
-MOST_ERAS = (1 << 20) - 1
+MAX_ERA = (1 << 20) - 1
 """Highest era: packets have 64 bits for a stamp, of which moves of services
 take a few more."""
 
--- a/lagoonpost/tables/ticket.py
+++ b/lagoonpost/tables/ticket.py
@@ -3,11 +3,11 @@
 from collections.abc import Mapping
 from typing import Any, Literal, NamedTuple
 
-State = Mapping[str, Any]
-ABSENT: State = {"absent": True}
+ObjectState = Mapping[str, Any]
+ABSENT: ObjectState = {"absent": True}
 
 
-class Fault(NamedTuple):
+class FieldError(NamedTuple):
     """One thing that is wrong in a ticket.
 
     Attributes:
@@ -27,10 +27,10 @@
         return f"{place}{self.field}: {self.message}"
 
 
-class Faults(NamedTuple):
+class InvalidTicket(NamedTuple):
     """Everything that is wrong in a ticket; never empty."""
 
-    faults: tuple[Fault, ...]
+    errors: tuple[FieldError, ...]
 
 
 class Ticket(NamedTuple):
@@ -44,7 +44,7 @@
 
     number: int
     reason: str
-    objects: Mapping[str, State]
+    objects: Mapping[str, ObjectState]
 
 
 class TicketRecord(NamedTuple):
@@ -66,14 +66,14 @@
     reason: str
     operator: str
     accepted: float
-    objects: Mapping[str, State]
+    objects: Mapping[str, ObjectState]
 
 
 class ObjectRecord(NamedTuple):
     """The state of one object and the ticket that set it."""
 
     ticket: int
-    state: State
+    state: ObjectState
 
 
 class Snapshot(NamedTuple):
@@ -97,7 +97,7 @@
 
     reason: RefusalReason
     detail: str
-    faults: tuple[Fault, ...] = ()
+    errors: tuple[FieldError, ...] = ()
 
 
 class Unsettled(NamedTuple):
--- a/lagoonpost/tables/answer.py
+++ b/lagoonpost/tables/token_usage.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class Usage(msgspec.Struct):
+class TokenUsage(msgspec.Struct):
     """Token counts of an answer, as its engine reports them."""
 
     prompt_tokens: int = 0
--- a/lagoonpost/tables/version_shift.py
+++ b/lagoonpost/tables/version_shift.py
@@ -2,10 +2,15 @@
 
 from typing import Literal, NamedTuple
 
-Phase = Literal["trial", "all", "complete", "taken_back"]
+ShiftPhase = Literal["trial", "all", "complete", "taken_back"]
 """How far a shift is: a few requests go to the new version, all do, the old
 runners are no longer needed, or the new ones get nothing."""
-PHASES: tuple[Phase, ...] = ("trial", "all", "complete", "taken_back")
+SHIFT_PHASES: tuple[ShiftPhase, ...] = (
+    "trial",
+    "all",
+    "complete",
+    "taken_back",
+)
 
 
 class ShiftOrder(NamedTuple):
--- a/test/test_ejection.py
+++ b/test/test_ejection.py
@@ -89,7 +89,7 @@
         for tables in player.tables:
             for runner in tables.pools["model"].loads.values():
                 assert runner.health.state == "healthy"
-                assert runner.health.since < 0
+                assert runner.health.changed_at < 0
 
     @pytest.mark.parametrize("mean", [1, 5, 50])
     def test_few_tokens_are_no_evidence(self, mean):
--- a/test/test_engine.py
+++ b/test/test_engine.py
@@ -203,7 +203,7 @@
                 bench.client, bench.address, "e1", 0.1, 10.0
             )
             assert load is not None
-            assert (load.running, load.measured) == (1, 9.9)
+            assert (load.running, load.measured_at) == (1, 9.9)
             stream.close()
 
         _play(story, EngineOptions(token_rate=5.0))
--- a/test/test_file.py
+++ b/test/test_file.py
@@ -6,7 +6,7 @@
 
 from lagoonpost.declarations.content import format_content, parse_ticket
 from lagoonpost.declarations.file import load_ticket
-from lagoonpost.tables.ticket import Faults, Ticket
+from lagoonpost.tables.ticket import InvalidTicket, Ticket
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "tickets"
 
@@ -45,7 +45,7 @@
 """
 
 
-def load(tmp_path: Path, text: str) -> Ticket | Faults:
+def load(tmp_path: Path, text: str) -> Ticket | InvalidTicket:
     file = tmp_path / "ticket.yaml"
     file.write_text(text, encoding="utf-8")
     return load_ticket(file)
@@ -54,8 +54,8 @@
 class TestFaults:
     def test_names_line_and_field_of_each(self, tmp_path: Path) -> None:
         loaded = load(tmp_path, WRONG)
-        assert isinstance(loaded, Faults)
-        places = [(fault.line, fault.field) for fault in loaded.faults]
+        assert isinstance(loaded, InvalidTicket)
+        places = [(fault.line, fault.field) for fault in loaded.errors]
         assert places == [
             (1, "ticket"),
             (9, "services.assistant.routes[1].class"),
@@ -74,8 +74,8 @@
         """
         text = "ticket: 1\nreason: r\nrunners:\n  a: {}\n  a: {}\n"
         loaded = load(tmp_path, text)
-        assert isinstance(loaded, Faults)
-        assert [(f.line, f.field) for f in loaded.faults] == [(5, "a")]
+        assert isinstance(loaded, InvalidTicket)
+        assert [(f.line, f.field) for f in loaded.errors] == [(5, "a")]
 
     @pytest.mark.parametrize(
         "text", ["", "a: [", "- 1", "ticket: 1\nreason: nothing touched\n"]
@@ -83,7 +83,7 @@
     def test_what_is_no_ticket_is_a_fault(
         self, tmp_path: Path, text: str
     ) -> None:
-        assert isinstance(load(tmp_path, text), Faults)
+        assert isinstance(load(tmp_path, text), InvalidTicket)
 
 
 class TestExamples:
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -203,7 +203,7 @@
             assert await sweep(store, "") == ""
             gone = (await store.read([key]))[0]
             assert gone.value is None
-            claim = msgspec.to_builtins(EXPIRED._replace(expires=9e9))
+            claim = msgspec.to_builtins(EXPIRED._replace(expires_at=9e9))
             await store.transact(
                 [Condition(key, gone.version)], [Write(key, claim)]
             )
--- a/test/test_move.py
+++ b/test/test_move.py
@@ -21,7 +21,7 @@
     merge_moves,
     roll_back,
 )
-from lagoonpost.tables.entity import Move
+from lagoonpost.tables.entity import VersionMove
 
 SEEDS = 5
 """In CI; bench/moves.py simulates 1,000."""
@@ -34,7 +34,7 @@
 
 
 def begin(by: float, load_seconds: float = 0.0) -> MoveRow:
-    move = Move("booking", "v1", "v2", by, ticket=7)
+    move = VersionMove("booking", "v1", "v2", by, ticket=7)
     row = begin_move(move, 0.0, load_seconds)
     assert isinstance(row, MoveRow)
     return row
@@ -51,10 +51,10 @@
         A ticket allows two minutes for a version that takes three to load. The
         operator gets the earliest feasible deadline instead of a late failure.
         """
-        move = Move("booking", "v1", "v2", by=120.0)
+        move = VersionMove("booking", "v1", "v2", deadline=120.0)
         begun = begin_move(move, 0.0, load_seconds=180.0)
         assert begun == DeadlineTooNear(compute_earliest_deadline(0.0, 180.0))
-        later = move._replace(by=compute_earliest_deadline(0.0, 180.0))
+        later = move._replace(deadline=compute_earliest_deadline(0.0, 180.0))
         assert isinstance(begin_move(later, 0.0, 180.0), MoveRow)
 
     @given(st.floats(0, 5000), st.floats(0, 1000))
@@ -62,7 +62,7 @@
         self, extra: float, load: float
     ) -> None:
         row = begin(compute_earliest_deadline(0.0, load) + extra, load)
-        assert row.end + GOSSIP_SECONDS < row.move.by
+        assert row.end + GOSSIP_SECONDS < row.move.deadline
         assert finish_move(row, row.end).outcome == "moving"
         assert finish_move(row, row.end + GOSSIP_SECONDS).outcome == "done"
 
--- a/test/test_moves.py
+++ b/test/test_moves.py
@@ -11,7 +11,7 @@
 
 from lagoonpost.systems.move import MoveRow
 from lagoonpost.systems.rollout import Rollout
-from lagoonpost.tables.entity import Move, Version
+from lagoonpost.tables.entity import Version, VersionMove
 from lagoonpost_standins.engine_fault import Faults
 
 # At the first share of 1 in 100, some 15 of these would meet a version that
@@ -128,8 +128,8 @@
         async def story(stack: Stack) -> dict[str, float]:
             gateway = stack.gateways[0]._gateway
             now = time.time()
-            bad = Move("assistant", "v1", "v2", now + 900, 2)
-            fixed = Move("assistant", "v1", "v3", now + 900, 3)
+            bad = VersionMove("assistant", "v1", "v2", now + 900, 2)
+            fixed = VersionMove("assistant", "v1", "v3", now + 900, 3)
             gateway.moves._rollouts = {
                 "assistant/2": Rollout(
                     MoveRow(bad, now - 900, now + 800, "taken_back"), 1
--- a/test/test_placement.py
+++ b/test/test_placement.py
@@ -16,8 +16,8 @@
 )
 from lagoonpost.systems.placement import Placement, Wanted
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost.tables.forwarded import Part
 from lagoonpost.tables.gateway_report import RunnerWork
+from lagoonpost.tables.metadata import PromptPart
 
 
 def make_runners(count: int, service: str = "chat", slots: int = 8):
@@ -35,7 +35,11 @@
 
 
 def make_draft(session: str, own: int = 2900) -> Wanted:
-    parts = (Part("shared", 2500), Part(session, 3800), Part("own", own))
+    parts = (
+        PromptPart("shared", 2500),
+        PromptPart(session, 3800),
+        PromptPart("own", own),
+    )
     return Wanted("chat", sum(p.tokens for p in parts), parts, True)
 
 
@@ -240,7 +244,7 @@
         assert set(moved) == {"chat-4"}
 
     def test_a_prompt_without_shared_parts_has_no_home(self):
-        assert find_home(make_runners(2), (Part("own", 5),)) == ""
+        assert find_home(make_runners(2), (PromptPart("own", 5),)) == ""
 
 
 class TestHomeOrders:
@@ -306,7 +310,9 @@
         assert choice.holder is None
 
     def test_little_is_read_and_not_copied(self):
-        small = make_draft("s1")._replace(parts=(Part("a", 300), Part("b", 9)))
+        small = make_draft("s1")._replace(
+            parts=(PromptPart("a", 300), PromptPart("b", 9))
+        )
         runners = make_runners(2)
         assert find_holder(runners, runners[0], small.parts) is None
 
--- a/test/test_post.py
+++ b/test/test_post.py
@@ -14,17 +14,17 @@
 from lagoonpost.peers.node import Peers
 from lagoonpost.peers.post import Post, decode_letter, encode_letter
 from lagoonpost.systems.packet import Packet, Reply
-from lagoonpost.tables.traffic import Traffic
+from lagoonpost.tables.control_traffic import ControlTraffic
 
 SENDER = Address("127.0.0.1", 9)
 
 
 async def start_with_posts(
     count: int, change: Callable[[Post], None] = lambda post: None
-) -> tuple[list[Peers], list[Traffic]]:
+) -> tuple[list[Peers], list[ControlTraffic]]:
     """Start peers that have posts, changed by a test before they start."""
     members: list[Peers] = []
-    traffics = [Traffic() for _ in range(count)]
+    traffics = [ControlTraffic() for _ in range(count)]
     seeds: list[Address] = []
     for number, traffic in enumerate(traffics):
         post = Post(traffic)
@@ -42,7 +42,7 @@
     return members, traffics
 
 
-def count(traffic: Traffic, kind: str) -> int:
+def count(traffic: ControlTraffic, kind: str) -> int:
     """Return the messages of one kind that came."""
     return sum(
         messages
--- a/test/test_quota.py
+++ b/test/test_quota.py
@@ -202,7 +202,7 @@
 
     def test_units(self):
         assert count_units(LARGE, 500) == 500
-        assert count_units(LARGE._replace(plain_tokens=200), None) == 200
+        assert count_units(LARGE._replace(default_tokens=200), None) == 200
         assert count_units(LARGE._replace(by_tokens=False), 500) == 1
 
 
--- a/test/test_quota_faults.py
+++ b/test/test_quota_faults.py
@@ -9,7 +9,7 @@
 from lagoonpost.forwarding.bursts import RECORD_SHARES
 from lagoonpost.systems.quota import Quotas
 from lagoonpost.tables.configuration import Workspace
-from lagoonpost.tables.gateway_report import Taken
+from lagoonpost.tables.gateway_report import UsageByAge
 from lagoonpost.tables.quota import QuotaBounds
 
 BOUNDS = QuotaBounds(window=8.0, overage=0.1, slack=140_000)
@@ -65,7 +65,7 @@
                     self._read(self.up_from[each]), self.up_from[each]
                 )
 
-    def _read(self, now: float) -> Taken:
+    def _read(self, now: float) -> UsageByAge:
         if self.record is None:
             return {}
         passed = now - self.record.at
--- a/test/test_relay.py
+++ b/test/test_relay.py
@@ -44,8 +44,8 @@
     Probe,
     Rejected,
 )
-from lagoonpost.tables.answer import Usage
 from lagoonpost.tables.entity import Runner
+from lagoonpost.tables.token_usage import TokenUsage
 
 LENGTH = 12
 
@@ -59,7 +59,7 @@
 
 
 def _closing(attempt: int) -> Closed:
-    return Closed(attempt, "stop", Usage(completion_tokens=LENGTH))
+    return Closed(attempt, "stop", TokenUsage(completion_tokens=LENGTH))
 
 
 class _Engine:
@@ -305,7 +305,7 @@
     def test_closing_event_of_an_old_runner_does_not_count(self) -> None:
         """The new runner's answer may be longer than the old one's."""
         relay = _started()
-        step(relay, Closed(1, "stop", Usage(completion_tokens=1)))
+        step(relay, Closed(1, "stop", TokenUsage(completion_tokens=1)))
         step(relay, AttemptFailed(1, "failed", "ran"))
         step(relay, Placed(_runner("e1")))
         actions = step(relay, Arrived(relay.attempt, 0, ["new0"]))
@@ -314,7 +314,7 @@
     def test_closing_event_that_counts_too_few_is_a_failure(self) -> None:
         relay = _started()
         step(relay, Arrived(1, 0, ["t0", "t1"]))
-        closing = Closed(1, "stop", Usage(completion_tokens=1))
+        closing = Closed(1, "stop", TokenUsage(completion_tokens=1))
         assert step(relay, closing) == [Place(_runner("e0"), "failed")]
 
     def test_many_tokens_behind_a_lost_one_fetch_it_again(self) -> None:
--- a/test/test_reports.py
+++ b/test/test_reports.py
@@ -12,9 +12,9 @@
 from lagoonpost.systems.hub import Roles, choose_roles
 from lagoonpost.tables.gateway_report import (
     GatewayReport,
+    HubSummary,
     RunnerWork,
-    Summary,
-    Taken,
+    UsageByAge,
 )
 from lagoonpost.tables.peer import Member
 
@@ -27,7 +27,7 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.heard: list[GatewayReport] = []
-        self.taken: Taken = {}
+        self.taken: UsageByAge = {}
         self.read_age: float | None = None
 
     def make_report(self, name: str, run: str) -> GatewayReport:
@@ -39,20 +39,20 @@
             recent={},
             begun={},
             prompt_tokens={},
-            waiting={},
-            pace={},
+            unread_prompt_tokens={},
+            seconds_per_prompt_token={},
             version=1,
-            versions={},
+            shift_counts={},
             read_age=self.read_age,
         )
 
     def hear_report(self, report: GatewayReport) -> None:
         self.heard.append(report)
 
-    def list_taken(self) -> Taken:
+    def list_taken(self) -> UsageByAge:
         return {"pottery": [(0.5, 7.0)]}
 
-    def hear_taken(self, taken: Taken, since: float) -> None:
+    def hear_taken(self, taken: UsageByAge, since: float) -> None:
         self.taken = taken
 
 
@@ -214,7 +214,7 @@
         )
         for hub, number, requests in [("a", 4, 1), ("b", 1, 2), ("a", 3, 9)]:
             work = {"runner": RunnerWork(requests)}
-            summary = Summary(hub, number, "", 0, 3, work, {})
+            summary = HubSummary(hub, number, "", 0, 3, work, {})
             reports._take_summary(summary, Address("127.0.0.1", 1))
         assert reports.sum_others()["runner"].requests == 2
 
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -6,9 +6,9 @@
 from lagoonpost.systems.evidence import INTERVAL_SECONDS
 from lagoonpost.systems.move import MoveRow
 from lagoonpost.systems.rollout import Outcome, Report, Rollout
-from lagoonpost.tables.entity import Move
+from lagoonpost.tables.entity import VersionMove
 
-MOVE = Move("assistant", "v1", "v2", by=10_000.0, ticket=3)
+MOVE = VersionMove("assistant", "v1", "v2", deadline=10_000.0, ticket=3)
 ROW = MoveRow(MOVE, 0.0, 1000.0)
 SHARE = 0.05
 OUTCOMES = st.lists(
--- a/test/test_route.py
+++ b/test/test_route.py
@@ -9,7 +9,7 @@
 from lagoonpost.tables.configuration import (
     Configuration,
     Route,
-    Share,
+    TrafficShare,
     Workspace,
 )
 
@@ -26,7 +26,7 @@
         host=host,
         prefix=prefix,
         kind="safe",
-        shares=(Share("desk", 1.0),),
+        shares=(TrafficShare("desk", 1.0),),
         timeout=1.0,
         target=1.0,
         max_attempts=1,
@@ -67,7 +67,7 @@
 
 class TestChooseService:
     def test_weights(self):
-        shares = (Share("old", 90.0), Share("new", 10.0))
+        shares = (TrafficShare("old", 90.0), TrafficShare("new", 10.0))
         route = make_route("/a/")._replace(shares=shares)
         rng = Random(1)
         chosen = [choose_service(route, rng) for _ in range(2000)]
--- a/test/test_scaling.py
+++ b/test/test_scaling.py
@@ -14,7 +14,13 @@
 from lagoonpost.tables.endpoint import Endpoint
 
 PRICES = {"a": 0.85, "b": 1.2, "c": 1.0}
-SCALING = Scaling(least=1, most=3, boot=4.0, spot_price=0.2, prices=PRICES)
+SCALING = Scaling(
+    min_runners=1,
+    max_runners=3,
+    boot_seconds=4.0,
+    spot_price=0.2,
+    prices=PRICES,
+)
 DRY = dict.fromkeys(PRICES, math.inf)
 
 
@@ -100,7 +106,7 @@
         While reclaimable runners are to be had, so many run that most
         steps read nothing; at full price only as many as waits need.
         """
-        large = SCALING._replace(most=12)
+        large = SCALING._replace(max_runners=12)
         wet = plan(Demand(2.0), scaling=large)
         dry = plan(Demand(2.0), scaling=large, dry=DRY)
         assert total(wet, spot=True) == 7
@@ -115,7 +121,7 @@
                         orders.get(Tenure(domain, spot), 0)
                         for spot in (True, False)
                     ]
-                    assert sum(both) <= SCALING.most
+                    assert sum(both) <= SCALING.max_runners
 
     def test_without_reclaimable_runners_all_are_at_full_price(self):
         orders = plan(scaling=SCALING._replace(spot_price=0.0))
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -29,8 +29,8 @@
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.stamp import make_stamp
 from lagoonpost.tables.version_shift import (
-    Phase,
     ShiftOrder,
+    ShiftPhase,
     VersionCounts,
     add_counts,
 )
@@ -369,17 +369,17 @@
         self.holds = False
         await asyncio.sleep(1.0)
 
-    def judge(self, phase: Phase, service: str = "chat") -> None:
+    def judge(self, phase: ShiftPhase, service: str = "chat") -> None:
         judge = self.shifts._shifts[service].judge
         advance = judge.advance
 
-        def come_to(held: Phase, *known: Any) -> Phase:
+        def come_to(held: ShiftPhase, *known: Any) -> ShiftPhase:
             ended = held in ("complete", "taken_back")
             return advance(held, *known) if ended else phase
 
         judge.advance = come_to  # type: ignore[method-assign]
 
-    def phase(self) -> Phase:
+    def phase(self) -> ShiftPhase:
         return self.shifts._shifts["chat"].phase
 
 
@@ -407,7 +407,7 @@
     @pytest.mark.parametrize("end", ENDS)
     @pytest.mark.parametrize("held_before", [True, False])
     def test_the_first_end_stands(
-        self, end: tuple[Phase, Phase, str], held_before: bool
+        self, end: tuple[ShiftPhase, ShiftPhase, str], held_before: bool
     ) -> None:
         """Guards against runners of both versions that are stopped."""
         first, second, state = end
--- a/test/test_sweep.py
+++ b/test/test_sweep.py
@@ -12,7 +12,7 @@
 from lagoonpost.tables.ledger import LedgerEntry
 
 EXPIRED = LedgerEntry("lost", "n", "d", "gateway", 0.0, 0.0, 1.0)
-LIVE = EXPIRED._replace(expires=inf)
+LIVE = EXPIRED._replace(expires_at=inf)
 ROWS = 600
 
 
--- a/test/test_ticket.py
+++ b/test/test_ticket.py
@@ -130,7 +130,7 @@
         store = MemoryStore()
         (outcome,) = submit(store, ticket)
         assert isinstance(outcome, Refused)
-        assert [fault.field for fault in outcome.faults] == [
+        assert [fault.field for fault in outcome.errors] == [
             "runners.engine-1.version"
         ]
         assert not store.rows
