--- a/lagoonpost/__main__.py
+++ b/lagoonpost/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m lagoonpost``."""
+"""Entry point for ``python -m lagoonpost``."""
 
 from lagoonpost.cli.main import main
 
--- a/lagoonpost/tables/__init__.py
+++ b/lagoonpost/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Rows and tables that the systems read."""
+"""Data types and tables that the decision code in ``systems`` reads."""
--- a/lagoonpost/tables/address.py
+++ b/lagoonpost/tables/address.py
@@ -1,4 +1,4 @@
-"""Addresses of processes."""
+"""Network addresses of processes."""
 
 from ipaddress import ip_address
 from typing import NamedTuple
@@ -17,8 +17,17 @@
 def parse_address(text: str) -> Address:
     """Parse ``HOST:PORT``, where the host is an IP address.
 
+    An IPv6 address may be enclosed in brackets.
+
+    Args:
+        text: The address.
+
+    Returns:
+        The parsed address, without brackets.
+
     Raises:
-        ValueError: If it is none, or the port is not 1 to 65535.
+        ValueError: If the host is not an IP address, or the port is not a
+            number from 1 to 65535.
     """
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
--- a/lagoonpost/tables/configuration.py
+++ b/lagoonpost/tables/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services, workspaces and limits."""
+"""Active configuration: routes, services, workspaces and limits."""
 
 from typing import Literal, NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class TrafficShare(NamedTuple):
-    """Part of a route's requests that goes to one service.
+    """Weight of one service in a route's traffic split.
 
     Attributes:
         service: Name of the service.
-        weight: Part of the requests, in proportion to the other weights.
+        weight: Relative weight; weights need not add up to 1.
     """
 
     service: str
@@ -18,21 +18,23 @@
 
 
 class Route(NamedTuple):
-    """One rule for forwarding.
+    """Forwarding rule for requests of one host and path prefix.
 
     Attributes:
         name: Name of the route.
-        host: Value of the host header that it is for.
-        prefix: Beginning of the paths that it is for, with both slashes.
-        kind: Whether requests are idempotent, not, or answered by a stream.
-        shares: The services that its requests go to.
-        timeout: Longest time to keep a request waiting, in seconds.
-        target: Time for the first byte that still counts as good, seconds.
-        max_attempts: Most runners that one request may be sent to.
-        priority: Rank; 0 is the most urgent.
-        public: Whether requests need no key.
-        resumable: Whether a stream may go on at another runner.
-        gap: Longest pause between events that counts as good, seconds.
+        host: Host header that the route matches.
+        prefix: Path prefix that the route matches, with leading and trailing
+            slash.
+        kind: ``safe`` for idempotent requests, ``unsafe`` for requests that
+            must not run twice, ``stream`` for streamed responses.
+        shares: Services that receive the route's requests, with weights.
+        timeout: Time after which a request fails, in seconds.
+        target: Latency target for the first byte, in seconds.
+        max_attempts: Maximum number of runners that a request is sent to.
+        priority: Priority class; 0 is the most urgent.
+        public: Whether requests are accepted without an API key.
+        resumable: Whether a stream may be resumed on another runner.
+        gap: Latency target between two events of a stream, in seconds.
     """
 
     name: str
@@ -50,19 +52,21 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether it is safe to run a request more than once."""
         return self.kind == "safe" or self.resumable
 
 
 class Scaling(NamedTuple):
-    """Bounds and prices of a service's runners.
+    """Autoscaling bounds and prices of a service's runners.
 
     Attributes:
-        least: Fewest runners in a failure domain.
-        most: Most runners in a failure domain, of both tenures together.
-        boot: Seconds from an order to a runner that serves.
-        spot_price: Price of a reclaimable runner, as a part of the full one.
-        prices: Price of a runner's second by failure domain.
+        min_runners: Minimum number of runners in each failure domain.
+        max_runners: Maximum number of runners in each failure domain,
+            reclaimable and on-demand ones together.
+        boot_seconds: Time from ordering a runner until it serves.
+        spot_price: Price of a reclaimable runner as a fraction of the
+            on-demand price.
+        prices: On-demand price of a runner per second, by failure domain.
     """
 
     min_runners: int
@@ -73,16 +77,17 @@
 
 
 class Service(NamedTuple):
-    """What requests are forwarded to.
+    """Group of interchangeable runners that routes forward to.
 
     Attributes:
         name: Name of the service.
-        health_path: Path of its health check.
-        engine: Whether its runners serve language models.
-        slots: Requests that one model runner works on at once; 0 if the
-            runners say so themselves.
-        kv_tokens: Tokens that a model runner's memory holds; 0 if unknown.
-        scaling: How many runners may be ordered; None if that is fixed.
+        health_path: Path of the health check.
+        engine: Whether the runners serve language models.
+        slots: Concurrent requests per model runner; 0 to use the number that
+            each runner registers.
+        kv_tokens: Capacity of a model runner's KV cache in tokens; 0 if
+            unknown.
+        scaling: Autoscaling bounds; None if the number of runners is fixed.
     """
 
     name: str
@@ -94,16 +99,18 @@
 
 
 class Workspace(NamedTuple):
-    """Who sends requests.
+    """Customer with API keys and a quota.
 
     Attributes:
         name: Name of the workspace.
-        keys: Keys that its callers show.
-        priority: Rank in place of the route's; None if it has none.
-        rate: Units per second over all gateways; 0 is no limit.
-        burst: Units beyond the rate.
-        by_tokens: Whether units are tokens and not requests.
-        plain_tokens: Units of a request that names no token count.
+        keys: API keys that identify its callers.
+        priority: Priority class that overrides the route's; None to use the
+            route's.
+        rate: Quota in units per second over all gateways; 0 for no limit.
+        burst: Units allowed above the rate.
+        by_tokens: Whether a unit is a token; otherwise it is a request.
+        default_tokens: Units charged for a request that states no token
+            count, if ``by_tokens`` is set.
     """
 
     name: str
@@ -116,13 +123,13 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take.
+    """Size and time limits for requests from callers.
 
     Attributes:
-        head: Most bytes of request line and headers.
-        body: Most bytes of a body.
-        head_seconds: Longest time to send the headers.
-        idle_seconds: Longest pause between two requests.
+        head: Maximum size of the request line and headers, in bytes.
+        body: Maximum size of a request body, in bytes.
+        head_seconds: Time within which the headers must arrive.
+        idle_seconds: Time after which an idle connection is closed.
     """
 
     head: int = 16384
@@ -132,14 +139,15 @@
 
 
 class Configuration(NamedTuple):
-    """One version of everything that operators declare.
+    """One version of the complete configuration.
 
     Attributes:
-        version: Grows with each change; a lower one is never in force again.
+        version: Version number; it grows with each change, and a gateway
+            never goes back to a lower one.
         routes: All routes.
         services: Services by name.
-        workspaces: All workspaces; empty if requests need no key.
-        limits: What callers may send.
+        workspaces: All workspaces; empty if requests need no API key.
+        limits: Limits for requests from callers.
     """
 
     version: int
--- a/lagoonpost/tables/endpoint.py
+++ b/lagoonpost/tables/endpoint.py
@@ -1,4 +1,4 @@
-"""Runners as they register themselves, and what is known of each."""
+"""Registration entries of runners."""
 
 from typing import NamedTuple
 
@@ -6,20 +6,20 @@
 
 
 class Endpoint(NamedTuple):
-    """A runner's own entry.
+    """Entry that a runner registers for itself in the store.
 
     Attributes:
-        id: Identity of this start of the runner.
-        service: Service that it belongs to.
-        address: Where it is reached.
-        failure_domain: Where it runs.
-        version: Version of its software.
-        slots: Requests that it works on at once.
-        leaving: Whether it is to get no new requests.
-        spot: Whether it is reclaimable.
-        leaves: Seconds until it is gone, if it said so.
-        born: Start of the runner in milliseconds since the epoch; tells two
-            runs under one id apart.
+        id: Instance id of the runner.
+        service: Service that the runner belongs to.
+        address: Address that accepts requests.
+        failure_domain: Failure domain of the runner's host.
+        version: Version of the runner's software.
+        slots: Number of requests that the runner processes concurrently.
+        leaving: Whether the runner is draining and gets no new requests.
+        spot: Whether the runner's host is reclaimable.
+        leaves_in_seconds: Time until the runner stops, if it announced one.
+        born: Start time of the process in milliseconds since the epoch; it
+            distinguishes two processes that use the same id.
     """
 
     id: str
--- a/lagoonpost/tables/entity.py
+++ b/lagoonpost/tables/entity.py
@@ -1,4 +1,4 @@
-"""The declared entities: what operators create through change tickets."""
+"""Entities that operators declare through change tickets."""
 
 from typing import Literal, NamedTuple
 
@@ -8,15 +8,16 @@
 
 
 class Route(NamedTuple):
-    """One kind of call of a service.
+    """Route of a service.
 
     Attributes:
-        path: Path below the service, or prefix ending in ``*``.
-        request_class: Which queue and latency target its calls have.
-        repeatable: Whether running a call twice does no harm.
-        first_seconds: Target until the first token or the whole answer.
-        token_seconds: Target between tokens; 0 for plain services.
-        timeout: Seconds after which a call is given up.
+        path: Path below the service, or a prefix that ends in ``*``.
+        request_class: Class that decides about queueing and latency target.
+        repeatable: Whether calls are idempotent.
+        first_seconds: Latency target for the first token, or for the whole
+            response of a plain service.
+        token_seconds: Latency target between tokens; 0 for plain services.
+        timeout: Seconds after which a call fails.
     """
 
     path: str
@@ -28,7 +29,14 @@
 
 
 class Service(NamedTuple):
-    """What workspaces call by name: a model or a plain service."""
+    """Service that workspaces call by name.
+
+    Attributes:
+        name: Unique name.
+        kind: ``model`` for a language model, ``plain`` for any other service.
+        routes: Routes of the service.
+        ticket: Number of the ticket that declared this state.
+    """
 
     name: str
     kind: ServiceKind
@@ -37,7 +45,14 @@
 
 
 class Version(NamedTuple):
-    """One version of a service; ``share`` is its part of new requests."""
+    """Version of a service.
+
+    Attributes:
+        service: Name of the service.
+        name: Name of the version.
+        share: Fraction of new requests that the version gets, 0 to 1.
+        ticket: Number of the ticket that declared this state.
+    """
 
     service: str
     name: str
@@ -46,7 +61,14 @@
 
 
 class Workspace(NamedTuple):
-    """A customer. ``key_digest`` is the SHA-256 of its bearer key, in hex."""
+    """Customer that sends requests.
+
+    Attributes:
+        name: Unique name.
+        key_digest: SHA-256 of the bearer key, in hex.
+        weight: Weight in fair queueing between workspaces.
+        ticket: Number of the ticket that declared this state.
+    """
 
     name: str
     key_digest: str
@@ -55,17 +77,20 @@
 
 
 class Runner(NamedTuple):
-    """A back end process; its endpoint is where it is reached.
+    """Back end process.
 
     Attributes:
-        name: Unique name; a replacement process has another one.
-        endpoint: ``IP:PORT``.
-        service: The service it runs.
-        version: The version it has loaded.
-        host: Host it runs on.
-        failure_domain: Failure domain of that host.
-        checks_fence: Whether it refuses orders with an old fencing number.
-        slots: Requests it runs side by side at the latency target.
+        name: Unique name; a replacement process gets a new one.
+        endpoint: Address, ``IP:PORT``.
+        service: Service that the runner belongs to.
+        version: Version that the runner has loaded.
+        host: Host that the runner runs on.
+        failure_domain: Failure domain of the host.
+        checks_fence: Whether the runner rejects orders with an outdated
+            fencing token.
+        slots: Concurrent requests at which the runner still meets the
+            latency target.
+        ticket: Number of the ticket that declared this state.
     """
 
     name: str
@@ -80,14 +105,15 @@
 
 
 class VersionMove(NamedTuple):
-    """Traffic of a service that goes over to another version.
+    """Gradual shift of a service's traffic from one version to another.
 
     Attributes:
-        service: The service; it has at most one move at a time.
-        from_version: Version that has the traffic.
-        to_version: Version that is to have it.
-        by: Time to be done by, in seconds since the epoch.
-        ticket: Ticket that declared the move.
+        service: Service; it has at most one move at a time.
+        from_version: Version that serves the traffic before the move.
+        to_version: Version that serves the traffic after the move.
+        deadline: Time by which the move must be complete, in seconds since
+            the epoch.
+        ticket: Number of the ticket that declared the move.
     """
 
     service: str
@@ -98,7 +124,13 @@
 
 
 class Operator(NamedTuple):
-    """Who may hand in tickets; ``key_digest`` as a workspace's."""
+    """Person or tool that may submit change tickets.
+
+    Attributes:
+        name: Unique name.
+        key_digest: SHA-256 of the bearer key, in hex.
+        ticket: Number of the ticket that declared this state.
+    """
 
     name: str
     key_digest: str
@@ -106,7 +138,17 @@
 
 
 class Declaration(NamedTuple):
-    """Everything declared, as of one revision."""
+    """All declared entities as of one revision.
+
+    Attributes:
+        revision: Number that grows with each accepted ticket.
+        services: All services.
+        versions: All versions of all services.
+        workspaces: All workspaces.
+        runners: All runners.
+        moves: All moves that are declared.
+        operators: All operators.
+    """
 
     revision: int = 0
     services: tuple[Service, ...] = ()
--- a/lagoonpost/tables/fact.py
+++ b/lagoonpost/tables/fact.py
@@ -1,4 +1,4 @@
-"""Monotone facts: rows that only grow, so that merging needs no order."""
+"""Facts spread by gossip, which merge to the same result in any order."""
 
 from math import inf
 from typing import Literal, NamedTuple
@@ -24,19 +24,20 @@
 
 
 class Fact(NamedTuple):
-    """Something that is true from now on, until a larger rank replaces it.
+    """Versioned value under a key; a higher rank replaces a lower one.
 
-    A set that only grows is one fact for each element, all of rank 1 and
-    with the element in the key.
+    A grow-only set is represented by one fact per element, with the element
+    in the key and rank 1.
 
     Attributes:
-        kind: What it is about.
-        key: What of that kind, such as a runner's name.
-        rank: Version of the fact, or the stamp of the store's row that it
-            tells; the larger one holds.
-        body: Small contents that kind and key do not say.
-        expires_after: Time in seconds since the epoch from which it may be
-            forgotten; a later fact of the same key must not end earlier.
+        kind: Subject of the fact.
+        key: Key within the kind, such as a runner's name.
+        rank: Version of the fact. For a copy of a store row it is the row's
+            stamp.
+        body: Encoded payload, if kind and key don't say everything.
+        expires_after: Time from which the fact may be dropped, in seconds
+            since the epoch. A later fact of the same key must not expire
+            earlier.
     """
 
     kind: FactKind
@@ -47,17 +48,17 @@
 
     @property
     def id(self) -> str:
-        """Kind and key in one word."""
+        """Unique id, composed of kind and key."""
         return f"{self.kind}/{self.key}"
 
 
 def merge_facts(one: Fact, other: Fact) -> Fact:
-    """Return what holds of two facts with the same kind and key.
+    """Merge two facts of the same kind and key.
 
-    The larger rank holds, and the larger body among equal ranks, so that
-    two publishers of one rank are settled alike everywhere. The later end
-    is kept: a fact forgotten here must not come back from a process that
-    knew another end.
+    The higher rank wins. Between equal ranks the larger body wins, so that
+    all processes agree when two of them published the same rank. The later
+    expiry is kept: otherwise a fact that was dropped here could come back
+    from a process that knew a later expiry.
     """
     winner = max(one, other, key=lambda fact: (fact.rank, fact.body))
     end = max(one.expires_after, other.expires_after)
@@ -65,16 +66,21 @@
 
 
 class FactTable(MergedTable[Fact]):
-    """All facts that hold, by kind and key."""
+    """Current facts by kind and key."""
 
     def __init__(self) -> None:
         super().__init__(lambda fact: fact.id, merge_facts, is_expired)
 
     def of_kind(self, kind: FactKind) -> tuple[Fact, ...]:
-        """Return all facts of one kind."""
+        """Return all current facts of one kind."""
         return tuple(row for row in self.rows.values() if row.kind == kind)
 
 
 def is_expired(fact: Fact, now: float) -> bool:
-    """Return whether the end of a fact has come."""
+    """Return whether a fact has expired.
+
+    Args:
+        fact: The fact.
+        now: Time in seconds since the epoch.
+    """
     return fact.expires_after <= now
--- a/lagoonpost/tables/gateway_report.py
+++ b/lagoonpost/tables/gateway_report.py
@@ -1,4 +1,4 @@
-"""What each gateway tells all others about its own work."""
+"""Reports about in-flight work and quota use that gateways exchange."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 
 class RunnerWork(NamedTuple):
-    """One gateway's open work at a runner.
+    """In-flight work at a runner.
 
     Attributes:
-        requests: Requests that have not been answered whole.
-        tokens: Prompt tokens that have still to be read for them.
+        requests: Requests without a complete response.
+        tokens: Prompt tokens of these requests that still need prefill.
     """
 
     requests: int = 0
@@ -19,26 +19,30 @@
 
 
 class GatewayReport(NamedTuple):
-    """The state of one run of a gateway.
+    """State of one gateway process.
 
     Attributes:
         name: Name of the gateway.
-        run: Identifies this run of its process.
-        work: Open work by runner.
-        used: Units of quota by workspace that were let through since start.
-        recent: The part of them within the quotas' window.
-        begun: Requests that runners began, by workspace, by usage window.
-        prompt_tokens: Prompt tokens sent since the start, by service, that
-            no runner was expected to hold already.
-        waiting: Prompt tokens under way that have not been read, by service.
-        pace: Seconds for reading a prompt token alone, by service, as
-            measured here.
-        version: Version of its configuration.
-        versions: Answers by service and route while a service moves to
-            another version.
-        rank: Number of this report; the highest one of a run holds.
-        read_age: Seconds since the store last answered it for each of the
-            tables; None if it never did.
+        run: Id of the process; a restarted gateway has a new one.
+        work: In-flight work of this gateway by runner.
+        used: Quota units admitted since the process started, by workspace.
+        recent: Quota units admitted within the quota window, by workspace.
+        begun: Requests that runners started, by usage window, then by
+            workspace.
+        prompt_tokens: Prompt tokens sent since the process started, by
+            service; tokens expected to be in a runner's prefix cache are not
+            counted.
+        unread_prompt_tokens: Prompt tokens in flight that still need
+            prefill, by service.
+        seconds_per_prompt_token: Measured prefill time per token without
+            concurrent requests, by service.
+        version: Version of the active configuration.
+        shift_counts: Response counts by service and route, for services
+            whose traffic is being shifted to another version.
+        sequence: Sequence number within the run; receivers ignore a report
+            whose number is not higher than the last one.
+        read_age: Age in seconds of the last successful store read of the
+            least recently read table; None if some table was never read.
     """
 
     name: str
@@ -57,23 +61,25 @@
 
 
 UsageByAge = dict[str, list[tuple[float, float]]]
-"""Units let through, by workspace, as pairs of their age in seconds and their
-number."""
+"""Admitted quota units by workspace, as pairs of age in seconds and units."""
 
 
 class HubSummary(NamedTuple):
-    """What a hub says of all gateways to one of them.
+    """Totals over all gateways that a hub sends to one gateway.
 
     Attributes:
-        hub: Run of the hub.
-        number: Number of the summary; the highest one of a hub holds.
-        run: The receiver's run that is in the sums; empty if none is.
-        rank: Number of that run's last report.
-        gateways: Gateways that the hub hears, itself included.
-        work: Open work of all gateways by runner.
-        taken: Units of quota that all let through within the window.
-        read_age: Seconds since the store last answered any of them; None if
-            it never did.
+        hub: Id of the hub's process.
+        number: Sequence number of the summary; receivers ignore one that is
+            not higher than the last one from the same hub.
+        run: Process id of the receiver whose report is included in the
+            totals; empty if none is.
+        sequence: Sequence number of the receiver's included report.
+        gateways: Number of gateways in the totals, the hub included.
+        work: In-flight work of all gateways by runner.
+        recent_usage: Quota units admitted by all gateways within the quota
+            window.
+        read_age: Age in seconds of the last successful store read by any
+            gateway; None if there was none.
     """
 
     hub: str
@@ -87,13 +93,14 @@
 
 
 def add_work(reports: Iterable[GatewayReport]) -> dict[str, RunnerWork]:
-    """Return the sum of some gateways' open work by runner."""
+    """Return the total in-flight work of several gateways by runner."""
     total: dict[str, RunnerWork] = {}
     for report in reports:
         for runner, work in report.work.items():
-            before = total.get(runner, RunnerWork())
+            subtotal = total.get(runner, RunnerWork())
             total[runner] = RunnerWork(
-                before.requests + work.requests, before.tokens + work.tokens
+                subtotal.requests + work.requests,
+                subtotal.tokens + work.tokens,
             )
     return total
 
@@ -101,14 +108,19 @@
 def subtract_work(
     total: Mapping[str, RunnerWork], part: Mapping[str, RunnerWork]
 ) -> dict[str, RunnerWork]:
-    """Return what is left of a sum of open work without one part of it."""
+    """Subtract in-flight work from a total, with 0 as the lower bound.
+
+    Args:
+        total: In-flight work by runner.
+        part: Work to subtract; runners that are not in ``total`` are ignored.
+    """
     return {
         runner: RunnerWork(
-            max(0, work.requests - part.get(runner, _NONE).requests),
-            max(0, work.tokens - part.get(runner, _NONE).tokens),
+            max(0, work.requests - part.get(runner, _NO_WORK).requests),
+            max(0, work.tokens - part.get(runner, _NO_WORK).tokens),
         )
         for runner, work in total.items()
     }
 
 
-_NONE = RunnerWork()
+_NO_WORK = RunnerWork()
--- a/lagoonpost/tables/health.py
+++ b/lagoonpost/tables/health.py
@@ -1,4 +1,4 @@
-"""How well a runner has answered lately, as one gateway saw it."""
+"""Health of a runner as observed by one gateway."""
 
 import math
 from dataclasses import dataclass
@@ -9,18 +9,24 @@
 
 @dataclass(slots=True)
 class Health:
-    """One runner's health.
+    """Health and concurrency limit of a runner.
 
     Attributes:
-        state: Whether it gets its full work, only probes, or a growing part.
-        score: Average ratio of seen to expected seconds, in logarithms.
-        lost: Connections that were lost in a row.
-        limit: Own requests that it may have while not healthy.
-        ceiling: Limit above which it was last found slow.
-        since: Time of the last change of state or of the limit.
+        state: ``healthy`` runners get their full share of requests,
+            ``ejected`` ones only probes, ``returning`` ones as many as
+            ``limit`` allows.
+        score: Moving average of the logarithm of observed over expected
+            latency.
+        consecutive_losses: Connections lost in a row.
+        limit: Maximum number of this gateway's requests in flight at the
+            runner; infinite while it is healthy.
+        slow_threshold: Limit up to which slow start doubles ``limit``: half
+            of the concurrency at which the runner was last found slow.
+        changed_at: Time of the last change of ``state`` or ``limit``.
         probe_at: Earliest time of the next probe while ejected.
-        probe_from: Number of requests sent before the next probe.
-        probe_wait: Seconds between probes, growing.
+        probe_after_sent: Count of requests sent to the service from which
+            the next probe may be sent.
+        probe_interval: Seconds between probes; grows with each probe.
     """
 
     state: HealthState = "healthy"
--- a/lagoonpost/tables/kv_copy.py
+++ b/lagoonpost/tables/kv_copy.py
@@ -1,4 +1,4 @@
-"""What becomes of a run's memory when it is copied to another runner."""
+"""Copies of a running request's KV cache, and outcomes of copying."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class KvCopy(NamedTuple):
-    """Memory of a run that another runner may go on from.
+    """Copy of a KV cache from which another runner can resume a request.
 
     Attributes:
-        source: Runner that the memory was copied from.
-        handle: What the source calls it.
+        source: Address of the runner that the cache was copied from.
+        handle: Id of the copy, assigned by the source.
     """
 
     source: Address
@@ -18,21 +18,29 @@
 
 
 class Copied(NamedTuple):
-    """The copy is whole, as of the end of the call."""
+    """The copy is complete as of the end of the call.
+
+    Attributes:
+        saved: The copy.
+    """
 
     saved: KvCopy
 
 
 class NoRun(NamedTuple):
-    """The runner has no such run: it has ended."""
+    """The source does not run the request any more."""
 
 
 class NoRoom(NamedTuple):
-    """The other runner has no room, or can't be reached from the first."""
+    """The target has no capacity, or the source can't connect to it."""
 
 
 class Unanswered(NamedTuple):
-    """The call failed; whether the run was stopped is not known."""
+    """The call failed, and the request may or may not have been stopped.
+
+    Attributes:
+        detail: Description of the failure.
+    """
 
     detail: str
 
--- a/lagoonpost/tables/lease.py
+++ b/lagoonpost/tables/lease.py
@@ -1,20 +1,21 @@
-"""Rows of leases on shards of the controllers' work."""
+"""Stored rows of leases on shards of the controllers' work."""
 
 from typing import NamedTuple
 
 
 class LeaseRow(NamedTuple):
-    """Who holds a lease, as it is stored.
+    """Stored state of a lease.
 
     Attributes:
-        holder: Name of the controller; empty if it was released.
-        nonce: Identifies the holding process; a restarted one of the same
-            name has another.
-        fence: Grows each time that the lease is taken.
-        duration: Seconds for which others must leave a version of this row
-            alone after they first saw it.
-        before: Names of those that held it before, of whose work effects may
-            still come; the last one last. Who releases it adds its own.
+        holder: Name of the controller that holds the lease; empty if it was
+            released.
+        nonce: Id of the holder's process; it differs after a restart under
+            the same name.
+        fence: Fencing token; it grows with each acquisition.
+        duration: Seconds that another controller must wait, after it first
+            saw this version of the row, before it may acquire the lease.
+        before: Names of previous holders whose orders may still take effect,
+            oldest first. A holder that releases the lease adds its own name.
     """
 
     holder: str
--- a/lagoonpost/tables/ledger.py
+++ b/lagoonpost/tables/ledger.py
@@ -1,4 +1,4 @@
-"""Rows of the booking ledger."""
+"""Stored rows of the idempotency ledger for bookings."""
 
 from typing import Literal, NamedTuple
 
@@ -8,13 +8,13 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """A runner's answer as it is kept for callers that ask again.
+    """Response of a runner, stored to answer retries.
 
     Attributes:
         status: HTTP status.
-        headers: Headers, without those of the connection.
-        body: Body, byte for byte.
-        whole: False if the body was too large to be kept.
+        headers: Headers, without hop-by-hop headers.
+        body: Unmodified body.
+        complete: False if the body was too large to store.
     """
 
     status: int
@@ -24,22 +24,26 @@
 
 
 class LedgerEntry(NamedTuple):
-    """What the ledger knows of one idempotency key.
+    """Ledger row of one idempotency key.
 
-    Rows are stored as arrays in this order, so a new field goes to the end
-    and has a default.
+    Rows are stored as arrays in this order, so a new field must be appended
+    and have a default.
 
     Attributes:
-        state: ``claimed`` by a writer that may dispatch it, ``void`` (that
-            writer surely did not dispatch), ``recorded`` with the answer,
-            or ``lost`` (dispatched, its answer never came).
-        nonce: Identifies the claim and so its only writer.
+        state: ``claimed``: the claimant may dispatch the request. ``void``:
+            the claimant did not dispatch it. ``recorded``: the response is
+            stored. ``lost``: the request was dispatched, but no response
+            arrived.
+        nonce: Id of the claim; only the claimant that created it may update
+            the row.
         digest: Digest of the request that claimed the key.
-        gateway: Gateway that wrote it, for operators.
-        claimed: Wall clock time of the claim, in seconds.
-        until: Wall clock time by which a live writer has an answer.
-        expires: Wall clock time after which the row may be deleted.
-        answer: The runner's answer, once recorded.
+        gateway: Name of the claimant's gateway; only for operators.
+        claimed_at: Time of the claim, in seconds since the epoch.
+        claim_deadline: Time by which a running claimant has a response, in
+            seconds since the epoch.
+        expires_at: Time after which the row may be deleted, in seconds since
+            the epoch.
+        answer: Response of the runner, once recorded.
     """
 
     state: EntryState
--- a/lagoonpost/tables/load.py
+++ b/lagoonpost/tables/load.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of runners' load and of its own flights."""
+"""Load of runners and requests in flight, as known to one gateway."""
 
 import math
 from collections import deque
@@ -8,22 +8,26 @@
 from lagoonpost.tables.entity import RequestClass, Runner
 from lagoonpost.tables.health import Health
 
+# Time for which changes of the in-flight count are kept. Load reports that
+# were measured earlier than this can't be corrected exactly.
 HISTORY_SECONDS = 5.0
 
 
 class InFlightRequest(NamedTuple):
-    """One of our requests at a runner.
+    """Request of this gateway that was sent to a runner.
 
     Attributes:
-        runner: Where it runs.
-        version: Version of that runner.
-        workspace: Who pays.
-        request_class: Its class.
+        runner: Name of the runner.
+        version: Version of the runner.
+        workspace: Workspace that the request is charged to.
+        request_class: Class of the request.
         cost: Estimated cost in output tokens.
-        prefill: Prompt tokens that were expected not to be cached.
-        expected: Seconds until its first part, or 0 if unknown.
-        dispatched: Time at which it was sent.
-        first: Time of its first part, or None.
+        prefill: Prompt tokens that were not expected to be in the runner's
+            prefix cache.
+        expected_seconds: Expected time to the first part of the response; 0
+            if unknown.
+        dispatched_at: Time at which the request was sent.
+        first_part_at: Time of the first part of the response, or None.
     """
 
     runner: str
@@ -39,25 +43,27 @@
 
 @dataclass(slots=True)
 class RunnerLoad:
-    """One runner's load as this gateway sees it.
+    """Load of a runner.
 
     Attributes:
         runner: The declared runner.
-        own: Our own requests in flight there.
-        others: Other gateways' requests there at ``measured``.
-        measured: Time of the newest report.
-        quota: Own requests that we may have there until the next report.
-        assigned: Tokens that we sent there, decayed over seconds.
-        assigned_at: Time to which ``assigned`` is decayed.
-        exclusive: Request that has the runner to itself, if any.
-        flights: Ids of our requests there, oldest first.
-        ended: Requests that ended since ``quota`` grew, without reports.
-        tokens: Tokens that our streams there brought since ``streams`` was
-            counted.
-        streams: Streams that we had there then.
-        awaiting: Those of them that have not shown a first part.
-        changes: Recent changes of ``own``, to look back at a report's time.
-        health: How well it answered lately.
+        own: This gateway's requests in flight at the runner.
+        others: Other gateways' requests in flight at the runner at
+            ``measured_at``.
+        measured_at: Time of measurement of the latest load report.
+        quota: Maximum of ``own`` until the next load report.
+        ended: Requests that ended since ``quota`` last grew; used for runners
+            that send no load reports.
+        tokens: Tokens received from the runner since ``streams`` was counted.
+        streams: Number of streams at the last comparison of token rates.
+        assigned: Tokens sent to the runner, with exponential decay.
+        assigned_at: Time up to which the decay of ``assigned`` is applied.
+        exclusive: Id of the request that runs alone on the runner, if any.
+        request_ids: Ids of this gateway's requests in flight, oldest first.
+        awaiting: Ids of those requests whose response has not started.
+        changes: Times and amounts of recent changes of ``own``, from which
+            its value at a report's time of measurement is derived.
+        health: Health of the runner.
     """
 
     runner: Runner
@@ -78,17 +84,30 @@
 
     @property
     def reported(self) -> bool:
-        """Whether it has ever reported its load."""
+        """Whether the runner has ever reported its load."""
         return self.measured_at > -math.inf
 
     def add(self, request_id: str, now: float) -> None:
-        """Count a request that we send there."""
+        """Add a request that is sent to the runner.
+
+        Args:
+            request_id: Id of the request.
+            now: Time in seconds.
+        """
         self.request_ids[request_id] = None
         self.awaiting[request_id] = None
         self._change(now, 1)
 
     def remove(self, request_id: str, now: float) -> bool:
-        """Stop counting a request; return False if it wasn't there."""
+        """Remove a request that ended.
+
+        Args:
+            request_id: Id of the request.
+            now: Time in seconds.
+
+        Returns:
+            False if the request was not in flight at the runner.
+        """
         if request_id not in self.request_ids:
             return False
         del self.request_ids[request_id]
@@ -97,7 +116,11 @@
         return True
 
     def own_at(self, time: float) -> int:
-        """Return our own requests there at an earlier time."""
+        """Return the value of ``own`` at an earlier time.
+
+        Args:
+            time: Time in seconds, at most ``HISTORY_SECONDS`` ago.
+        """
         return self.own - sum(d for t, d in self.changes if t > time)
 
     def _change(self, now: float, delta: int) -> None:
--- a/lagoonpost/tables/load_report.py
+++ b/lagoonpost/tables/load_report.py
@@ -1,18 +1,19 @@
-"""What a runner reports of its load, late and now and then."""
+"""Load reports of runners, which arrive late and at irregular intervals."""
 
 from typing import NamedTuple
 
 
 class LoadReport(NamedTuple):
-    """A runner's own count of its work.
+    """Load of a runner as measured by the runner.
 
     Attributes:
         runner: Name of the runner.
-        measured: Runner's time of measurement, turned into our clock.
+        measured_at: Time of measurement, converted to the local clock.
         running: Requests being generated.
         waiting: Requests queued in the engine.
-        pending_tokens: Tokens still to prefill or generate for both.
-        cache_used: Part of its prefix cache in use, 0 to 1.
+        pending_tokens: Tokens still to be prefilled or generated for running
+            and waiting requests.
+        cache_used: Fraction of the prefix cache in use, 0 to 1.
     """
 
     runner: str
--- a/lagoonpost/tables/merged_table.py
+++ b/lagoonpost/tables/merged_table.py
@@ -1,4 +1,4 @@
-"""Tables whose rows merge alike in any order, with a digest of them."""
+"""Replicated tables whose rows merge to the same result in any order."""
 
 from collections.abc import Callable, Iterable
 from typing import Generic, TypeVar
@@ -9,11 +9,11 @@
 
 
 class MergedTable(Generic[T]):
-    """Rows by id, of which the merge of all that came is held.
+    """State-based CRDT: for each id, the merge of all rows received.
 
     Attributes:
-        rows: The rows that are held, by id.
-        digest: Digest of these rows.
+        rows: Current rows by id.
+        digest: Digest of the current rows.
     """
 
     def __init__(
@@ -22,14 +22,14 @@
         merge: Callable[[T, T], T],
         is_expired: Callable[[T, float], bool],
     ) -> None:
-        """Make an empty table.
+        """Create an empty table.
 
         Args:
             find_id: Returns a row's id.
-            merge: Merges two rows of one id; it has to be commutative,
+            merge: Merges two rows of the same id; must be commutative,
                 associative and idempotent.
-            is_expired: Whether a row may be forgotten at a time in seconds
-                since the epoch.
+            is_expired: Returns whether a row may be dropped at a time in
+                seconds since the epoch.
         """
         self.rows: dict[str, T] = {}
         self.digest = Digest()
@@ -38,28 +38,36 @@
         self._is_expired = is_expired
 
     def merge(self, row: T, now: float) -> T | None:
-        """Take a row in.
+        """Merge a row into the table.
+
+        Args:
+            row: The row.
+            now: Time in seconds since the epoch.
 
         Returns:
-            The row now held if it is another than before, else None.
+            The new current row of this id, or None if it did not change.
         """
-        # Ends are absolute times. A process that still holds an expired
-        # row, because its clock is behind, can't bring it back here.
+        # Expiry times are absolute, so a peer that still has an expired row
+        # because its clock is slow can't reintroduce it here.
         if self._is_expired(row, now):
             return None
         key = self._find_id(row)
-        held = self.rows.get(key)
-        merged = row if held is None else self._merge(held, row)
-        if merged == held:
+        current = self.rows.get(key)
+        merged = row if current is None else self._merge(current, row)
+        if merged == current:
             return None
-        if held is not None:
-            self.digest.toggle(key, held)
+        if current is not None:
+            self.digest.toggle(key, current)
         self.rows[key] = merged
         self.digest.toggle(key, merged)
         return merged
 
     def drop_expired(self, now: float) -> None:
-        """Forget rows whose end has come."""
+        """Remove expired rows.
+
+        Args:
+            now: Time in seconds since the epoch.
+        """
         rows = list(self.rows.items())
         for key, row in rows:
             if self._is_expired(row, now):
@@ -67,7 +75,7 @@
                 self.digest.toggle(key, row)
 
     def list_bucket_rows(self, buckets: Iterable[int]) -> tuple[T, ...]:
-        """Return all rows that belong to the buckets."""
+        """Return all rows that belong to the given digest buckets."""
         wanted = frozenset(buckets)
         if not wanted:
             return ()
--- a/lagoonpost/tables/metadata.py
+++ b/lagoonpost/tables/metadata.py
@@ -1,33 +1,44 @@
-"""What a caller says of a request that is to be forwarded."""
+"""Metadata that a caller sends along with a request."""
 
 from typing import NamedTuple
 
 
 class TokenCount(NamedTuple):
-    """Tokens of the prompt, and most tokens of the answer."""
+    """Size of a request in tokens.
+
+    Attributes:
+        prompt: Tokens of the prompt.
+        output: Maximum number of tokens to generate.
+    """
 
     prompt: int
     output: int
 
 
 class PromptPart(NamedTuple):
-    """One part of a prompt; equal parts of several requests share an id."""
+    """Section of a prompt that several requests may have in common.
+
+    Attributes:
+        id: Id of the content; equal content has the same id.
+        tokens: Length in tokens.
+    """
 
     id: str
     tokens: int
 
 
 class RequestMetadata(NamedTuple):
-    """Everything a caller says that decisions look at.
+    """Request headers that influence admission and routing.
 
     Attributes:
-        id: Id of this attempt of the caller.
-        host: Host that it calls, in lower case.
-        key: Key that it shows, or empty.
-        left: Seconds for which it waits; None if it does not say.
-        tokens: Size of the request; None if it does not say.
-        parts: Parts of the prompt, in order.
-        last_event: Id of the last event that it has of a stream, or empty.
+        id: Id of the caller's attempt.
+        host: Host header, in lower case.
+        key: API key, or empty.
+        left: Seconds until the caller's deadline; None if not stated.
+        tokens: Size of the request; None if not stated.
+        parts: Sections of the prompt, in order.
+        last_event: Id of the last event that the caller received of a stream
+            to be resumed, or empty.
     """
 
     id: str
--- a/lagoonpost/tables/peer.py
+++ b/lagoonpost/tables/peer.py
@@ -1,4 +1,4 @@
-"""Members: the system's own processes, as every one of them sees them."""
+"""Cluster membership: the gateway and controller processes."""
 
 from typing import Literal, NamedTuple
 
@@ -7,36 +7,37 @@
 PeerRole = Literal["gateway", "controller"]
 MemberState = Literal["alive", "suspect", "left", "dead"]
 
-# At one incarnation the later state wins: only the member itself can take
-# a verdict back, by a larger incarnation.
-_ORDER: dict[MemberState, int] = {
+# Within one incarnation the state with the higher precedence wins. Only the
+# member itself can refute a suspicion, by raising its incarnation.
+_STATE_PRECEDENCE: dict[MemberState, int] = {
     "alive": 0,
     "suspect": 1,
     "dead": 2,
     "left": 3,
 }
-_SERVING: frozenset[MemberState] = frozenset(("alive", "suspect"))
+_SERVING_STATES: frozenset[MemberState] = frozenset(("alive", "suspect"))
 
-# Tombstones have to outlive every partition, else a member that was away
-# brings its old "alive" rows back and they are believed until probes fail.
-# Regions lose each other for an hour now and then; a day leaves room, and
-# costs 220 rows of about 100 bytes at 220 stopped or replaced hosts a day.
+# Tombstones must outlive every network partition. Otherwise a member on the
+# other side reintroduces old "alive" rows, which count until probes fail.
+# Partitions between regions last up to about an hour. A day leaves a margin
+# and costs 220 rows of about 100 bytes at 220 stopped or replaced hosts a
+# day.
 TOMBSTONE_SECONDS = 24 * 3600.0
 
 
 class Member(NamedTuple):
-    """One process of the system.
+    """Gateway or controller process.
 
     Attributes:
-        name: Unique name; a restart on the same host may keep it.
-        address: Where its peers reach it, ``IP:PORT``.
-        role: What it runs as.
-        region: Region it runs in.
-        failure_domain: Failure domain it runs in.
+        name: Unique name; a process restarted on the same host may keep it.
+        address: Address for peers, ``IP:PORT``.
+        role: Role of the process.
+        region: Region of the host.
+        failure_domain: Failure domain of the host.
         incarnation: Version of the row; only the member itself raises it.
-        state: What is held of it at this incarnation.
-        changed: Time of that verdict, in seconds since the epoch.
-        entry: Where callers reach it, ``IP:PORT``, or empty.
+        state: Liveness of the member at this incarnation.
+        changed: Time at which ``state`` was set, in seconds since the epoch.
+        entry: Address for callers, ``IP:PORT``, or empty.
     """
 
     name: str
@@ -51,21 +52,29 @@
 
     @property
     def serving(self) -> bool:
-        """Whether it is held to run: alive, or suspected only."""
-        return self.state in _SERVING
+        """Whether the member counts as running: alive or only suspected."""
+        return self.state in _SERVING_STATES
 
 
 def _rank(row: Member) -> tuple[int, int, float, Member]:
-    return row.incarnation, _ORDER[row.state], row.changed, row
+    return row.incarnation, _STATE_PRECEDENCE[row.state], row.changed, row
 
 
 def merge_members(one: Member, other: Member) -> Member:
-    """Return the row that holds; the same in whatever order rows come."""
+    """Return the row that supersedes the other one.
+
+    The result does not depend on the order of the arguments.
+    """
     return max(one, other, key=_rank)
 
 
 def is_expired(row: Member, now: float) -> bool:
-    """Return whether the row is a tombstone that has stood long enough."""
+    """Return whether the row is a tombstone that may be dropped.
+
+    Args:
+        row: The row.
+        now: Time in seconds since the epoch.
+    """
     return not row.serving and now - row.changed > TOMBSTONE_SECONDS
 
 
--- a/lagoonpost/tables/quota.py
+++ b/lagoonpost/tables/quota.py
@@ -1,4 +1,4 @@
-"""Quotas of workspaces: how exactly they are kept, and what decides."""
+"""Workspace quotas: enforcement tolerances and the admission check."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,12 @@
 
 
 class QuotaBounds(NamedTuple):
-    """Over which time and how exactly quotas are kept.
+    """Window and tolerance for the enforcement of quotas.
 
     Attributes:
-        window: Seconds over which units are counted.
-        overage: Part of the quota that may be let through beyond it.
-        slack: Units that may be let through beyond that.
+        window: Length of the sliding window in seconds.
+        overage: Tolerated overage as a fraction of the quota.
+        slack: Tolerated overage in units, added to ``overage``.
     """
 
     window: float = 8.0
@@ -20,16 +20,19 @@
 
 
 class QuotaCheck(NamedTuple):
-    """Inputs of a decision about one request.
+    """Inputs of the admission decision for one request.
 
     Attributes:
-        used: Units that are known to have been let through in the window.
-        unheard: Units that others may have let through besides.
-        repeated: The same by all own requests but the largest, as one alone
-            does not show that others come as well.
-        limit: Most units in the window, the request included.
-        excess: Units beyond what the rate allows.
-        burst: Most units beyond what the rate allows.
+        used: Units known to have been admitted within the window.
+        unreported: Estimate of the units that other gateways admitted but
+            have not reported yet, extrapolated from this gateway's recent
+            requests.
+        unreported_beyond_largest: The same estimate without this gateway's
+            largest recent request: a single request does not show that other
+            gateways admit similar ones.
+        limit: Maximum of units within the window, including the request.
+        excess: Units admitted above the rate.
+        burst: Maximum of units above the rate, including the request.
     """
 
     used: float
@@ -40,9 +43,13 @@
     burst: float
 
     def fits(self, cost: float) -> bool:
-        """Tell whether a request may be let through.
+        """Return whether a request may be admitted.
 
-        What nobody else has used lets even the largest request through.
+        A limit does not apply while nothing is counted against it, so that a
+        request larger than the limit can be admitted at all.
+
+        Args:
+            cost: Units of the request.
         """
         used = self.used + self.unreported + cost
         excess = self.excess + self.unreported_beyond_largest + cost
@@ -52,11 +59,12 @@
 
 
 def count_units(workspace: Workspace, tokens: int | None) -> float:
-    """Return a request's units.
+    """Return the quota units that a request costs.
 
     Args:
-        workspace: Whose request it is.
-        tokens: Tokens of prompt and answer; None if it names none.
+        workspace: Workspace of the request.
+        tokens: Tokens of prompt and response; None if the request doesn't
+            state them.
     """
     if not workspace.by_tokens:
         return 1.0
--- a/lagoonpost/tables/request.py
+++ b/lagoonpost/tables/request.py
@@ -1,4 +1,4 @@
-"""One caller's request as the decisions see it."""
+"""Requests as seen by the queueing and routing code."""
 
 from typing import NamedTuple
 
@@ -6,22 +6,25 @@
 
 
 class RequestRow(NamedTuple):
-    """An arrived request.
+    """Request that a gateway received.
 
     Attributes:
-        id: Unique id, given by the gateway that took it.
-        workspace: Who pays.
-        service: Service asked for.
-        route: Path of the route of the service.
-        request_class: Queue and target it belongs to.
-        prompt_tokens: Estimated tokens to prefill.
-        output_tokens: Estimated tokens to generate.
-        prefix: Hashes of the prompt's growing prefixes, shortest first,
-            one per ``PREFIX_BLOCK`` tokens.
-        fingerprint: Hash of service and body; equal for a repeated request.
-        arrived: Time of arrival in seconds of the caller's clock.
-        deadline: Time by which the first token has to be out.
-        repeatable: Whether running it twice does no harm.
+        id: Unique id, assigned by the gateway.
+        workspace: Workspace that the request is charged to.
+        service: Name of the requested service.
+        route: Path of the service's route.
+        request_class: Class that decides about queueing and latency target.
+        prompt_tokens: Estimated number of tokens to prefill.
+        output_tokens: Estimated number of tokens to generate.
+        prefix: Hashes of the prompt's prefixes in steps of ``PREFIX_BLOCK``
+            tokens, shortest first.
+        fingerprint: Hash of service and body, which identifies repetitions
+            of the same request.
+        arrived: Time of arrival in seconds, on the clock of the code that
+            created the row.
+        deadline: Time by which the first token should be sent, on the same
+            clock.
+        repeatable: Whether the request is idempotent.
     """
 
     id: str
--- a/lagoonpost/tables/ticket.py
+++ b/lagoonpost/tables/ticket.py
@@ -1,4 +1,4 @@
-"""Change tickets, the rows they leave behind and their outcomes."""
+"""Change tickets, their stored records and their outcomes."""
 
 from collections.abc import Mapping
 from typing import Any, Literal, NamedTuple
@@ -8,13 +8,13 @@
 
 
 class FieldError(NamedTuple):
-    """One thing that is wrong in a ticket.
+    """Validation error in one field of a ticket.
 
     Attributes:
         field: Path of the field, such as ``runners.engine-1.slots``.
-        message: What is wrong and what is allowed.
-        file: File it stands in, if it came from one.
-        line: Line in that file, from 1; 0 if not from a file.
+        message: Description of the error and of the allowed values.
+        file: Path of the ticket's file; empty if it was not read from one.
+        line: Line number in the file, from 1; 0 if not read from a file.
     """
 
     field: str
@@ -23,23 +23,27 @@
     line: int = 0
 
     def __str__(self) -> str:
-        place = f"{self.file}:{self.line}: " if self.file else ""
-        return f"{place}{self.field}: {self.message}"
+        location = f"{self.file}:{self.line}: " if self.file else ""
+        return f"{location}{self.field}: {self.message}"
 
 
 class InvalidTicket(NamedTuple):
-    """Everything that is wrong in a ticket; never empty."""
+    """Validation errors of a ticket that could not be parsed.
+
+    Attributes:
+        errors: All errors found; never empty.
+    """
 
     errors: tuple[FieldError, ...]
 
 
 class Ticket(NamedTuple):
-    """A numbered change.
+    """Numbered change of declared objects.
 
     Attributes:
-        number: Given by the operator, from 1.
-        reason: Why the change is made.
-        objects: Whole new state by object key (``KIND/NAME``).
+        number: Number assigned by the operator, from 1.
+        reason: Reason for the change.
+        objects: Complete new state by object key (``KIND/NAME``).
     """
 
     number: int
@@ -48,16 +52,16 @@
 
 
 class TicketRecord(NamedTuple):
-    """An accepted ticket as it is stored and sent to peers.
+    """Accepted ticket as stored and sent to peers.
 
     Attributes:
-        number: The operator's number.
-        revision: Revision of the declaration that it made.
-        digest: SHA-256 of its content, in hex.
-        reason: Why the change was made.
-        operator: Who handed it in.
-        accepted: Time of acceptance in seconds since the epoch.
-        objects: Whole new state by object key.
+        number: Number assigned by the operator.
+        revision: Revision of the declaration that the ticket created.
+        digest: SHA-256 of the ticket's content, in hex.
+        reason: Reason for the change.
+        operator: Name of the operator that submitted the ticket.
+        accepted: Time of acceptance, in seconds since the epoch.
+        objects: Complete new state by object key.
     """
 
     number: int
@@ -70,21 +74,35 @@
 
 
 class ObjectRecord(NamedTuple):
-    """The state of one object and the ticket that set it."""
+    """Stored state of an object.
+
+    Attributes:
+        ticket: Number of the ticket that set the state.
+        state: State of the object; ``ABSENT`` if it was removed.
+    """
 
     ticket: int
     state: ObjectState
 
 
 class Snapshot(NamedTuple):
-    """All objects as of one revision, also the ones set absent."""
+    """All objects as of one revision.
+
+    Attributes:
+        revision: Revision of the declaration.
+        objects: Records by object key, removed objects included.
+    """
 
     revision: int
     objects: Mapping[str, ObjectRecord]
 
 
 class Accepted(NamedTuple):
-    """The ticket is committed and was read back."""
+    """The ticket is committed and was read back.
+
+    Attributes:
+        record: The stored record.
+    """
 
     record: TicketRecord
 
@@ -93,7 +111,13 @@
 
 
 class Refused(NamedTuple):
-    """The ticket had no effect and this very ticket is not in force."""
+    """The ticket was rejected and had no effect.
+
+    Attributes:
+        reason: Reason code.
+        detail: Description of the reason.
+        errors: Validation errors, if there are any.
+    """
 
     reason: RefusalReason
     detail: str
@@ -101,7 +125,13 @@
 
 
 class Unsettled(NamedTuple):
-    """The store did not answer; the same ticket again settles it."""
+    """The store did not answer, so the ticket may have been committed.
+
+    Submitting the same ticket again is safe and determines the outcome.
+
+    Attributes:
+        detail: Description of the failure.
+    """
 
     detail: str
 
@@ -110,6 +140,10 @@
 
 
 class NotRun(NamedTuple):
-    """The store did not answer a reading, which changes nothing."""
+    """The store did not answer a read request, which has no effect.
+
+    Attributes:
+        detail: Description of the failure.
+    """
 
     detail: str
--- a/lagoonpost/tables/version_shift.py
+++ b/lagoonpost/tables/version_shift.py
@@ -1,10 +1,12 @@
-"""An order to move a service's traffic to another version, and its state."""
+"""Orders to shift a service's traffic to another version, and their state."""
 
 from typing import Literal, NamedTuple
 
 ShiftPhase = Literal["trial", "all", "complete", "taken_back"]
-"""How far a shift is: a few requests go to the new version, all do, the old
-runners are no longer needed, or the new ones get nothing."""
+"""Progress of a shift. ``trial``: a few requests go to the new version.
+``all``: all requests do. ``complete``: the old runners are no longer needed.
+``taken_back``: the shift was rolled back, and no requests go to the new
+version."""
 SHIFT_PHASES: tuple[ShiftPhase, ...] = (
     "trial",
     "all",
@@ -14,13 +16,13 @@
 
 
 class ShiftOrder(NamedTuple):
-    """What operators ask for.
+    """Order of an operator to shift a service's traffic.
 
     Attributes:
-        service: Service whose traffic is to move.
-        to: Version that is to get all of it.
-        seconds: Time from the order in which it should be done.
-        number: Number of the order; a higher one replaces it.
+        service: Name of the service.
+        to: Version that receives all traffic after the shift.
+        seconds: Time from the order within which the shift should complete.
+        number: Number of the order; a higher number replaces a lower one.
     """
 
     service: str
@@ -30,15 +32,17 @@
 
 
 class VersionCounts(NamedTuple):
-    """Answers on one route since the order, by version.
+    """Responses on one route since the order was placed.
 
     Attributes:
-        new: Answers of the new version.
-        new_failed: Of these, failures and answers that broke off.
-        new_slow: Of these, answers later than the route's target.
-        old: Answers of the other versions.
-        old_failed: Of these, failures and answers that broke off.
-        old_slow: Of these, answers later than the route's target.
+        new: Responses of the new version.
+        new_failed: Responses of the new version that failed or were cut off.
+        new_slow: Responses of the new version that missed the route's
+            latency target.
+        old: Responses of all other versions.
+        old_failed: Responses of other versions that failed or were cut off.
+        old_slow: Responses of other versions that missed the route's latency
+            target.
     """
 
     new: int = 0
@@ -55,9 +59,14 @@
 
 
 def subtract_counts(one: VersionCounts, other: VersionCounts) -> VersionCounts:
-    """Return what came to one count since another; never below zero.
+    """Return the increase from ``other`` to ``one``, field by field.
 
-    A gateway that was restarted counts from zero again.
+    A decrease counts as 0, because a restarted gateway counts from zero
+    again.
+
+    Args:
+        one: Later counts.
+        other: Earlier counts.
     """
     pairs = zip(one, other, strict=True)
     return VersionCounts(*(max(0, new - old) for new, old in pairs))
