--- a/bench/placement.py
+++ b/bench/placement.py
@@ -8,7 +8,7 @@
 
 import click
 
-from lagoonpost.systems.placement import Placement, Wanted
+from lagoonpost.systems.placement import Placement, PlacementRequest
 from lagoonpost.tables.address import Address
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.metadata import PromptPart
@@ -16,7 +16,7 @@
 COUNTS = (9, 70, 2800)
 CHOICES = 20_000
 """Predictions in all for each count, so that each takes about as long."""
-PROMPT = Wanted(
+PROMPT = PlacementRequest(
     "chat",
     9000,
     (PromptPart("a", 2500), PromptPart("b", 3700), PromptPart("c", 2800)),
--- a/lagoonpost/forwarding/admission.py
+++ b/lagoonpost/forwarding/admission.py
@@ -104,11 +104,11 @@
         retry_after = self.quotas.take(
             workspace, cost, reports.heard_part(), read_clock(), gateways
         )
-        exchange.quota = self.quotas.weighed
+        exchange.quota = self.quotas.decision_inputs
         if retry_after is None:
             exchange.units = cost
             self.on_quota_charged()
-            if self.quotas.must_tell(workspace, gateways):
+            if self.quotas.needs_publishing(workspace, gateways):
                 reports.nudge()
             return None
         detail = "the workspace is over its quota"
@@ -117,7 +117,7 @@
     def give_back(self, exchange: Exchange) -> None:
         """Refund the quota charged to a request that no runner started."""
         if exchange.known_not_run and exchange.workspace is not None:
-            self.quotas.give_back(
+            self.quotas.refund(
                 exchange.workspace, exchange.units, read_clock()
             )
 
--- a/lagoonpost/forwarding/bursts.py
+++ b/lagoonpost/forwarding/bursts.py
@@ -115,11 +115,11 @@
     async def _read(self) -> None:
         """Read the records, unless a hub that did tells what was used."""
         pause = FIRST_PAUSE_SECONDS
-        while self._quotas.earlier.needs_records(read_clock()):
+        while self._quotas.prior_usage.needs_records(read_clock()):
             await asyncio.sleep(pause)
             pause = min(2 * pause, LAST_PAUSE_SECONDS)
             if self._shared.reports.has_sums():
-                self._quotas.earlier.take_records({}, read_clock())
+                self._quotas.prior_usage.load_records({}, read_clock())
                 return
             rows = await self._store.scan(BURST_PREFIX)
             now = self._store.clock.find_now()
@@ -137,7 +137,7 @@
             passed = max(0.0, now - record.at)
             used = [(age + passed, units) for age, units in record.use]
             records.setdefault(record.workspace, []).extend(used)
-        self._quotas.earlier.take_records(records, read_clock())
+        self._quotas.prior_usage.load_records(records, read_clock())
 
     async def _record(self) -> None:
         names, self._wanted = sorted(self._wanted), set()
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -311,7 +311,7 @@
         """
         forwarder = self._forwarder
         quotas = forwarder.admission.quotas
-        quotas.note_told()
+        quotas.mark_published()
         now = read_clock()
         return GatewayReport(
             name=name,
@@ -320,12 +320,12 @@
             used={name: round(units) for name, units in quotas.used.items()},
             recent={
                 name: round(units)
-                for name, units in quotas.list_recent(now).items()
+                for name, units in quotas.list_own_usage(now).items()
             },
             begun=self._usage.begun,
             prompt_tokens=forwarder.prompt_tokens,
             unread_prompt_tokens=self._sum_waiting(),
-            seconds_per_prompt_token=forwarder.placement.paces_alone,
+            seconds_per_prompt_token=forwarder.placement.unloaded_paces,
             version=self.view.version,
             shift_counts=self._shifts.report(),
             read_age=self._follower.find_age(),
@@ -336,11 +336,11 @@
         now = read_clock()
         sender = f"{report.name}/{report.run}"
         quotas = self._forwarder.admission.quotas
-        quotas.hear(sender, report.used, report.recent, now)
+        quotas.update_from_peers(sender, report.used, report.recent, now)
         self._bursts.look()
         if self._cluster.find_roles().mesh:
             return
-        if quotas.is_tight(self.view.list_workspaces(), now):
+        if quotas.is_near_limit(self.view.list_workspaces(), now):
             self._cluster.reports.nudge()
 
     def list_taken(self) -> UsageByAge:
@@ -356,7 +356,9 @@
             since: Time up to which this gateway's own use is included, in
                 seconds.
         """
-        self._forwarder.admission.quotas.hear_all(taken, since, read_clock())
+        self._forwarder.admission.quotas.replace_with_summary(
+            taken, since, read_clock()
+        )
 
     def _sum_waiting(self) -> dict[str, int]:
         """Return the prompt tokens of requests in flight, by service."""
@@ -384,7 +386,9 @@
     async def _run_maintenance(self) -> None:
         while True:
             await sleep_aligned(MAINTENANCE_INTERVAL_SECONDS)
-            self._forwarder.placement.hear(self._cluster.reports.sum_others())
+            self._forwarder.placement.update_from_peers(
+                self._cluster.reports.sum_others()
+            )
             self._cluster.publish_store_lost(self._follower.lost)
             for key in self.view.drop_lapsed():
                 self._cluster.publish_entry(key)
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -21,19 +21,23 @@
     Conflict,
     Write,
 )
-from lagoonpost.systems.demand import DemandMeter, Sample, expect_busy
+from lagoonpost.systems.demand import (
+    DemandMeter,
+    Sample,
+    estimate_initial_busy,
+)
 from lagoonpost.systems.hub import Roles
 from lagoonpost.systems.lease import LeasePolicy
-from lagoonpost.systems.placement import FIRST_TOKEN_PACE
+from lagoonpost.systems.placement import DEFAULT_SECONDS_PER_TOKEN
 from lagoonpost.systems.scaling import (
-    DRY_SECONDS,
+    SPOT_RETRY_SECONDS,
+    CapacityPool,
     Demand,
-    Order,
-    Tenure,
+    RunnerOrder,
     count_runners,
     plan_orders,
 )
-from lagoonpost.systems.usage import find_due, sum_begun
+from lagoonpost.systems.usage import find_due_windows, sum_begun_requests
 from lagoonpost.tables.configuration import Service
 from lagoonpost.tables.gateway_report import GatewayReport
 
@@ -98,7 +102,7 @@
             store, LEASE_NAME, settings.name, shared.reports.run_id, policy
         )
         self._reported: dict[int, bool] = {}
-        self._ordered: dict[tuple[str, Tenure], tuple[int, float]] = {}
+        self._ordered: dict[tuple[str, CapacityPool], tuple[int, float]] = {}
         self._ask_again: dict[tuple[str, str], float] = {}
         self._meters: dict[str, DemandMeter] = {}
         self._heard: dict[str, dict[str, int]] = {}
@@ -194,7 +198,7 @@
             await sleep_aligned(LOOK_SECONDS)
             if not self.is_held():
                 continue
-            due = find_due(
+            due = find_due_windows(
                 self._wall_clock(),
                 bounds.usage_window,
                 bounds.usage_late,
@@ -227,7 +231,7 @@
         if counts is None:
             # Counted once: the store may lose the row, not so the others.
             reports = self._shared.reports.all_reports()
-            counts = sum_begun(reports, window)
+            counts = sum_begun_requests(reports, window)
         key = f"{USAGE_PREFIX}{window}"
         outcome = await self._store.transact(
             [Condition(key, 0)], [Write(key, counts)]
@@ -287,7 +291,7 @@
                 for r in fresh
                 if service in r.seconds_per_prompt_token
             ]
-            pace = median(paces) if paces else FIRST_TOKEN_PACE
+            pace = median(paces) if paces else DEFAULT_SECONDS_PER_TOKEN
             meter = self._meter(service)
             meter.note(Sample(now, self._sent[service], waiting, pace))
 
@@ -309,7 +313,9 @@
             expected = 0.0
             if self._from_start and self._belief.routes is not None:
                 workspaces = self._belief.routes.configuration.workspaces
-                expected = expect_busy(workspaces, FIRST_TOKEN_PACE)
+                expected = estimate_initial_busy(
+                    workspaces, DEFAULT_SECONDS_PER_TOKEN
+                )
             meter = DemandMeter(self._from_start, expected)
             self._meters[service] = meter
         return meter
@@ -337,12 +343,12 @@
     def _needs(
         self,
         service: str,
-        order: Order,
-        there: dict[Tenure, int],
-        orders: list[Order],
+        order: RunnerOrder,
+        there: dict[CapacityPool, int],
+        orders: list[RunnerOrder],
     ) -> bool:
-        count = there.get(order.tenure, 0)
-        before = self._ordered.get((service, order.tenure))
+        count = there.get(order.capacity_pool, 0)
+        before = self._ordered.get((service, order.capacity_pool))
         if before is not None and before[0] == order.runners:
             overdue = read_clock() - before[1] > REPEAT_SECONDS
             return overdue and count != order.runners
@@ -353,7 +359,7 @@
         # Runners go only once what takes their place is there.
         return order.runners > count or present >= planned
 
-    async def _give(self, service: str, order: Order) -> None:
+    async def _give(self, service: str, order: RunnerOrder) -> None:
         tenure, count = order
         outcome = await self._send(
             lambda duty: self._cloud.order_runners(
@@ -369,18 +375,18 @@
         self._take_outcome(service, order, outcome)
 
     def _take_outcome(
-        self, service: str, order: Order, outcome: CloudOutcome
+        self, service: str, order: RunnerOrder, outcome: CloudOutcome
     ) -> None:
         now = read_clock()
         if outcome == "done":
-            self._ordered[service, order.tenure] = (order.runners, now)
-            if order.tenure.spot:
-                self._end_drought(service, order.tenure.domain, now)
-        elif outcome == "fenced" and order.tenure.spot:
+            self._ordered[service, order.capacity_pool] = (order.runners, now)
+            if order.capacity_pool.spot:
+                self._end_drought(service, order.capacity_pool.domain, now)
+        elif outcome == "fenced" and order.capacity_pool.spot:
             # None are to be had, or another holds the lease by now; the
             # next look tells which.
-            key = (service, order.tenure.domain)
-            self._ask_again[key] = now + DRY_SECONDS
+            key = (service, order.capacity_pool.domain)
+            self._ask_again[key] = now + SPOT_RETRY_SECONDS
 
     def _end_drought(self, service: str, domain: str, now: float) -> None:
         """Note that there are reclaimable runners again.
--- a/lagoonpost/forwarding/exchange.py
+++ b/lagoonpost/forwarding/exchange.py
@@ -15,7 +15,7 @@
 from lagoonpost.forwarding.refusal import ANSWER_LOST, Refusal
 from lagoonpost.http.events import RawEvent
 from lagoonpost.http.message import Request, Response
-from lagoonpost.systems.placement import Choice, Wanted
+from lagoonpost.systems.placement import Choice, PlacementRequest
 from lagoonpost.tables.configuration import Route, Service, Workspace
 from lagoonpost.tables.metadata import RequestMetadata
 from lagoonpost.tables.quota import QuotaCheck
@@ -73,7 +73,7 @@
         self.started = clock()
         self.route: Route | None = None
         self.workspace: Workspace | None = None
-        self.requirements = Wanted("", 0, (), False)
+        self.requirements = PlacementRequest("", 0, (), False)
         self.units = 0.0
         self.quota: QuotaCheck | None = None
         self.version = 0
@@ -98,7 +98,7 @@
     def set_service(self, name: str, service: Service | None) -> None:
         """Set the service and derive the requirements for placement."""
         tokens = self.arrival.tokens
-        self.requirements = Wanted(
+        self.requirements = PlacementRequest(
             service=name,
             prompt=tokens.prompt if tokens else 0,
             parts=self.arrival.parts,
--- a/lagoonpost/forwarding/forwarder.py
+++ b/lagoonpost/forwarding/forwarder.py
@@ -324,7 +324,7 @@
             last_event=exchange.last_event,
             urgency=exchange.urgency,
             saved=saved,
-            holder=choice.holder.address if choice.holder else None,
+            holder=choice.copy_source.address if choice.copy_source else None,
         )
 
     def _find_first_byte_timeout(
@@ -387,7 +387,7 @@
     def _count_prompt(self, exchange: Exchange, choice: Choice) -> None:
         service = exchange.requirements.service
         before = self.prompt_tokens.get(service, 0)
-        self.prompt_tokens[service] = before + choice.unread
+        self.prompt_tokens[service] = before + choice.uncached_tokens
 
     # Answers
 
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -201,7 +201,7 @@
             run.exchange.requirements.service
         ):
             state = self._placement.state(runner.id)
-            running = state.requests + state.others.requests
+            running = state.requests + state.peer_work.requests
             running += self._incoming_counts[runner.id]
             places.append(Candidate(runner, running, state.is_suspect(now)))
         return choose_target(places, run.choice.endpoint, self._rng)
--- a/lagoonpost/gateway/entries.py
+++ b/lagoonpost/gateway/entries.py
@@ -2,7 +2,7 @@
 
 from lagoonpost.gateway.state import EntryMember, Gateway
 from lagoonpost.http.message import Response, make_json_response
-from lagoonpost.systems.entry import LEAST, assign_entries, rank_members
+from lagoonpost.systems.entry import MIN_ENTRIES, assign_entries, rank_members
 
 # A caller keeps the list this long. A gateway that dies stays listed with
 # some callers for as long, and they turn to the next entry by themselves.
@@ -30,7 +30,7 @@
             self._lists = assign_entries(members, weights)
             self._made_of = made_of
         known = self._lists.get(workspace)
-        return known or tuple(rank_members(members, workspace)[:LEAST])
+        return known or tuple(rank_members(members, workspace)[:MIN_ENTRIES])
 
 
 def list_entries(gateway: Gateway, workspace: str) -> Response:
--- a/lagoonpost/margins/quota.py
+++ b/lagoonpost/margins/quota.py
@@ -6,7 +6,7 @@
 
 from lagoonpost.margins.line import Line, RequestEnd
 from lagoonpost.margins.margin import Margin
-from lagoonpost.systems.quota_limit import USED_TOLERANCE
+from lagoonpost.systems.quota_limit import TOLERANCE_SHARE
 
 _RAN = frozenset({"whole", "began", "moved", "broken", "silent"})
 """Outcomes of offers that may have run."""
@@ -81,7 +81,7 @@
         overage: Part of a quota that may be used beyond it.
         slack: Units that may be used beyond that.
     """
-    quota = (limit - USED_TOLERANCE * slack) / (1 + USED_TOLERANCE * overage)
+    quota = (limit - TOLERANCE_SHARE * slack) / (1 + TOLERANCE_SHARE * overage)
     return max(0.0, quota) * (1 + overage) + slack
 
 
--- a/lagoonpost/peers/node.py
+++ b/lagoonpost/peers/node.py
@@ -329,7 +329,7 @@
                 self._spawn(action)
             elif isinstance(action, ChangedRows):
                 self._tell(action)
-        if self._gossip.view.has_news() and "flush" not in self._timers:
+        if self._gossip.view.has_updates() and "flush" not in self._timers:
             self._arm("flush", FLUSH_SECONDS, self._flush)
         if self.current():
             self._current.set()
--- a/lagoonpost/systems/admission.py
+++ b/lagoonpost/systems/admission.py
@@ -24,27 +24,27 @@
 from lagoonpost.systems.backoff import add_jitter
 from lagoonpost.systems.cost import count_tokens
 from lagoonpost.systems.event import Refuse
-from lagoonpost.systems.headroom import is_protected, protected_room
+from lagoonpost.systems.headroom import is_protected, protected_headroom
 from lagoonpost.systems.pool import Pool
 from lagoonpost.systems.queueing import (
     CREDIT_SECONDS,
-    SHORT,
+    SHORT_CLASSES,
     FairQueue,
-    Waiting,
+    QueuedRequest,
 )
 from lagoonpost.tables.request import RequestRow
 
-DEVIATIONS = 2.5
+WAIT_DEVIATIONS = 2.5
 BIAS_GAIN = 0.1
-BIAS_MOST = 4.0
+MAX_BIAS_RATIO = 4.0
 # Waits below this say more about ticks than about the queue.
-BIAS_LEAST_SECONDS = 0.1
+MIN_BIAS_SECONDS = 0.1
 
-OVER_SHARE = 429
-NO_CAPACITY = 503
+OVER_SHARE_STATUS = 429
+NO_CAPACITY_STATUS = 503
 
 
-def predict_first(pool: Pool, request: RequestRow) -> float:
+def predict_target_seconds(pool: Pool, request: RequestRow) -> float:
     """Estimate seconds from dispatch to what the deadline asks for."""
     if pool.service.kind == "plain":
         route = pool.routes.get(request.route)
@@ -52,18 +52,18 @@
     return pool.rates.first_seconds(request.prompt_tokens)
 
 
-def count_ahead(pool: Pool, request: RequestRow) -> float:
+def count_tokens_ahead(pool: Pool, request: RequestRow) -> float:
     """Return the tokens that are served before a new request."""
-    ahead = pool.queues[request.request_class].ahead(request.workspace)
-    if request.request_class not in SHORT:
-        for name in SHORT:
+    ahead = pool.queues[request.request_class].tokens_ahead(request.workspace)
+    if request.request_class not in SHORT_CLASSES:
+        for name in SHORT_CLASSES:
             ahead += sum(pool.queues[name].backlog.values())
     return ahead
 
 
 def admit(
     pool: Pool, request: RequestRow, now: float, rng: Random
-) -> Waiting | Refuse:
+) -> QueuedRequest | Refuse:
     """Decide on a new request.
 
     Args:
@@ -77,26 +77,26 @@
     """
     if not pool.loads:
         return Refuse(
-            request.id, NO_CAPACITY, "no_runner", add_jitter(1.0, rng)
+            request.id, NO_CAPACITY_STATUS, "no_runner", add_jitter(1.0, rng)
         )
     cost = count_tokens(request)
     queue = pool.queues[request.request_class]
-    drain = pool.drain(pool.routes.get(request.route))
+    drain = pool.drain_rate(pool.routes.get(request.route))
     set_credit(pool, queue, drain)
-    ahead = count_ahead(pool, request)
-    first = predict_first(pool, request)
+    ahead = count_tokens_ahead(pool, request)
+    first = predict_target_seconds(pool, request)
     wait = 0.0
     start = queue.next_start(request.workspace)
     free = pool.free
     if is_protected(pool, request, start):
-        free += protected_room(pool)
+        free += protected_headroom(pool)
     idle = free >= 1 and not ahead
     if not idle:
         # With all slots full, the next one is a mean request's part away.
         wait = (ahead + pool.rates.mean_cost) / drain
-    bias = pool.bias.get((request.request_class, request.workspace), 1.0)
+    bias = pool.wait_bias.get((request.request_class, request.workspace), 1.0)
     number = max(1.0, ahead / pool.rates.mean_cost)
-    longest = wait * bias * (1.0 + DEVIATIONS / math.sqrt(number))
+    longest = wait * bias * (1.0 + WAIT_DEVIATIONS / math.sqrt(number))
     # While a slot is free a request is let in whatever is predicted. If one
     # slow spell makes every prediction miss its target, nothing would run
     # any more, and nothing would ever correct the prediction.
@@ -105,27 +105,27 @@
         status, reason = _blame(queue, request.workspace)
         return Refuse(request.id, status, reason, add_jitter(delay, rng))
     latest = max(request.deadline - first, now)
-    return Waiting(request, cost, start, latest, now, wait)
+    return QueuedRequest(request, cost, start, latest, now, wait)
 
 
-def learn_wait(pool: Pool, entry: Waiting, now: float) -> None:
+def update_wait_bias(pool: Pool, entry: QueuedRequest, now: float) -> None:
     """Correct predictions by the wait of a dispatched request."""
-    if entry.predicted < BIAS_LEAST_SECONDS:
+    if entry.predicted < MIN_BIAS_SECONDS:
         return
     request = entry.request
     key = (request.request_class, request.workspace)
-    ratio = min((now - entry.queued) / entry.predicted, BIAS_MOST)
-    old = pool.bias.get(key, 1.0)
-    pool.bias[key] = old + BIAS_GAIN * (ratio - old)
+    ratio = min((now - entry.queued) / entry.predicted, MAX_BIAS_RATIO)
+    old = pool.wait_bias.get(key, 1.0)
+    pool.wait_bias[key] = old + BIAS_GAIN * (ratio - old)
 
 
 def set_credit(pool: Pool, queue: FairQueue, drain: float) -> None:
     """Set what a workspace may catch up on, in virtual time."""
-    weights = sum(queue.weight(name) for name in pool.used) or 1.0
+    weights = sum(queue.weight(name) for name in pool.tokens_in_flight) or 1.0
     queue.credit = CREDIT_SECONDS * drain / weights
 
 
 def _blame(queue: FairQueue, workspace: str) -> tuple[int, str]:
-    if len(queue.finish) > 1 and not queue.is_within(workspace):
-        return OVER_SHARE, "over_share"
-    return NO_CAPACITY, "no_capacity"
+    if len(queue.finish_tags) > 1 and not queue.is_within_share(workspace):
+        return OVER_SHARE_STATUS, "over_share"
+    return NO_CAPACITY_STATUS, "no_capacity"
--- a/lagoonpost/systems/affinity.py
+++ b/lagoonpost/systems/affinity.py
@@ -30,11 +30,11 @@
 from lagoonpost.tables.load import RunnerLoad
 from lagoonpost.tables.request import RequestRow
 
-BOUND = 1.2
-WINDOW = 8.0
-SLACK = 1.0
-BLOCKS = 20_000
-HOLDERS = 4
+MAX_WORK_RATIO = 1.2
+WORK_DECAY_SECONDS = 8.0
+SLACK_REQUESTS = 1.0
+MAX_BLOCKS = 20_000
+MAX_HOLDERS = 4
 
 
 @dataclass(slots=True)
@@ -50,9 +50,9 @@
         for block in blocks:
             names = self.holders.get(block, ())
             rest = tuple(name for name in names if name != runner)
-            self.holders[block] = (*rest, runner)[-HOLDERS:]
+            self.holders[block] = (*rest, runner)[-MAX_HOLDERS:]
             self.holders.move_to_end(block)
-        while len(self.holders) > BLOCKS:
+        while len(self.holders) > MAX_BLOCKS:
             self.holders.popitem(last=False)
 
     def drop(self, runner: str, blocks: Iterable[int]) -> None:
@@ -88,12 +88,12 @@
         for block in reversed(prefix):
             for name in reversed(self.holders.get(block, ())):
                 ranked[name] = None
-            if len(ranked) >= HOLDERS:
+            if len(ranked) >= MAX_HOLDERS:
                 break
         return list(ranked)
 
 
-def rank_unknown(
+def rank_by_hash(
     prefix: tuple[int, ...], loads: Iterable[RunnerLoad]
 ) -> list[str]:
     """Rank runners for a prefix that none is known to hold."""
@@ -108,12 +108,12 @@
     """Bring a runner's assigned work up to date and return it in tokens."""
     age = now - load.assigned_at
     if age > 0:
-        load.assigned *= math.exp(-age / WINDOW)
+        load.assigned *= math.exp(-age / WORK_DECAY_SECONDS)
         load.assigned_at = now
     return load.assigned
 
 
-def within_bound(work: float, mean: float, cost: float) -> bool:
+def is_within_work_bound(work: float, mean: float, cost: float) -> bool:
     """Return whether a holder may take more of the work.
 
     Args:
@@ -121,4 +121,4 @@
         mean: Mean recent work of the runners in tokens.
         cost: Mean cost of a request in tokens.
     """
-    return work <= BOUND * mean + SLACK * cost
+    return work <= MAX_WORK_RATIO * mean + SLACK_REQUESTS * cost
--- a/lagoonpost/systems/attempt.py
+++ b/lagoonpost/systems/attempt.py
@@ -18,7 +18,7 @@
 
 from lagoonpost.systems.backoff import add_jitter, compute_backoff
 from lagoonpost.systems.cost import PREFILL_RATIO
-from lagoonpost.systems.dispatch import forget, land
+from lagoonpost.systems.dispatch import forget_request, remove_flight
 from lagoonpost.systems.ejection import record_failure, record_outcome
 from lagoonpost.systems.event import (
     AttemptFailed,
@@ -32,12 +32,12 @@
 
 REFUSED_BASE_SECONDS = 0.05
 FAILED_RETRY_SECONDS = 1.0
-FAILED = 503
+FAILED_STATUS = 503
 # Kinds of failure after which the request surely has not run.
-NOT_RUN = frozenset({"refused", "unreached"})
+NOT_RUN_KINDS = frozenset({"refused", "unreached"})
 
 
-def begin_answer(pool: Pool, event: FirstToken, now: float) -> None:
+def record_first_part(pool: Pool, event: FirstToken, now: float) -> None:
     """Learn from the first part of an answer."""
     flight = pool.flights.get(event.request_id)
     if flight is None or flight.runner != event.runner:
@@ -50,15 +50,15 @@
     if load is not None:
         load.awaiting.pop(event.request_id, None)
         _judge(pool, load, seconds, flight, now)
-    pool.rates.learn_first(flight.prefill, seconds)
+    pool.rates.update_first_part(flight.prefill, seconds)
 
 
-def finish_answer(
+def record_completion(
     pool: Pool, request: RequestRow, event: Finished, now: float
 ) -> None:
     """Take a whole answer off the books and learn from it."""
-    flight = land(pool, request.id, now)
-    forget(pool, request.id)
+    flight = remove_flight(pool, request.id, now)
+    forget_request(pool, request.id)
     if flight is None:
         return
     seconds = now - flight.dispatched_at
@@ -66,13 +66,13 @@
     if pool.service.kind == "model" and event.tokens:
         cost = 1.0 + flight.prefill / PREFILL_RATIO + event.tokens
         queue = pool.queues[request.request_class]
-        queue.correct(request.workspace, cost - flight.cost)
+        queue.adjust_charge(request.workspace, cost - flight.cost)
     load = pool.loads.get(flight.runner)
     if load is not None and pool.service.kind == "plain":
         _judge(pool, load, seconds, flight, now)
     if load is not None and not load.reported:
         pool.raise_quota(load)
-    pool.rates.learn_whole(cost, seconds)
+    pool.rates.update_completion(cost, seconds)
 
 
 def fail_attempt(
@@ -94,7 +94,7 @@
     Returns:
         The refusal, if the request is given up.
     """
-    flight = land(pool, request.id, now)
+    flight = remove_flight(pool, request.id, now)
     refused = event.kind == "refused"
     load = pool.loads.get(event.runner)
     if load is not None and refused:
@@ -103,16 +103,16 @@
         sent = flight.dispatched_at if flight else now
         record_failure(pool, load, event.kind, sent, now)
     if not event.retry:
-        forget(pool, request.id)
+        forget_request(pool, request.id)
         return []
-    if event.kind not in NOT_RUN and not request.repeatable:
+    if event.kind not in NOT_RUN_KINDS and not request.repeatable:
         # It may have run: a second run could book twice.
-        forget(pool, request.id)
-        return [Refuse(request.id, FAILED, "may_have_run", None)]
+        forget_request(pool, request.id)
+        return [Refuse(request.id, FAILED_STATUS, "may_have_run", None)]
     if event.kind == "failed" and not pool.budget.spend():
-        forget(pool, request.id)
+        forget_request(pool, request.id)
         delay = add_jitter(FAILED_RETRY_SECONDS, rng)
-        return [Refuse(request.id, FAILED, "retry_budget", delay)]
+        return [Refuse(request.id, FAILED_STATUS, "retry_budget", delay)]
     _retry(pool, request, event, flight, now, rng)
     return []
 
--- a/lagoonpost/systems/budget.py
+++ b/lagoonpost/systems/budget.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 
-SAFETY = 0.8
+USED_BUDGET_SHARE = 0.8
 """Part of the budget that is used: the rest is for windows that are cut
 differently from ours and for requests that were counted but never sent."""
 
@@ -47,7 +47,7 @@
                 times.popleft()
         allowed = self._ratio * len(self._requests)
         allowed += self._floor / max(1, gateways)
-        if len(self._repeats) + 1 > SAFETY * allowed:
+        if len(self._repeats) + 1 > USED_BUDGET_SHARE * allowed:
             return False
         self._repeats.append(now)
         return True
--- a/lagoonpost/systems/cost.py
+++ b/lagoonpost/systems/cost.py
@@ -20,10 +20,10 @@
 from lagoonpost.tables.request import RequestRow
 
 PREFILL_RATIO = 20.0
-GAIN = 0.05
+AVERAGING_GAIN = 0.05
 # An answer that is overdue moves an average by no more than this factor,
 # so that a lone stuck request doesn't spoil the estimate for all.
-CLIP = 4.0
+MAX_SAMPLE_RATIO = 4.0
 
 
 def count_tokens(request: RequestRow) -> float:
@@ -47,7 +47,7 @@
 
     mean_cost: float = 1.0
     mean_seconds: float = 0.0
-    first: dict[int, float] = field(default_factory=dict)
+    first_part_seconds: dict[int, float] = field(default_factory=dict)
 
     def slot_seconds(self, cost: float, route: Route | None) -> float:
         """Estimate the seconds that a request holds a slot."""
@@ -56,18 +56,22 @@
 
     def first_seconds(self, prefill: int) -> float:
         """Estimate seconds from dispatch to first part; 0 if unknown."""
-        if not self.first:
+        if not self.first_part_seconds:
             return 0.0
         key = prefill.bit_length()
-        nearest = min(self.first, key=lambda known: abs(known - key))
-        return self.first[nearest] * 2.0 ** (key - nearest)
+        nearest = min(
+            self.first_part_seconds, key=lambda known: abs(known - key)
+        )
+        return self.first_part_seconds[nearest] * 2.0 ** (key - nearest)
 
-    def learn_first(self, prefill: int, seconds: float) -> None:
+    def update_first_part(self, prefill: int, seconds: float) -> None:
         """Take in one time from dispatch to first part."""
         key = prefill.bit_length()
-        self.first[key] = _average(self.first.get(key, 0.0), seconds)
+        self.first_part_seconds[key] = _average(
+            self.first_part_seconds.get(key, 0.0), seconds
+        )
 
-    def learn_whole(self, cost: float, seconds: float) -> None:
+    def update_completion(self, cost: float, seconds: float) -> None:
         """Take in one finished request."""
         if not self.mean_seconds:
             self.mean_cost = cost
@@ -86,4 +90,4 @@
 def _average(old: float, seen: float) -> float:
     if not old:
         return seen
-    return old + GAIN * (min(seen, CLIP * old) - old)
+    return old + AVERAGING_GAIN * (min(seen, MAX_SAMPLE_RATIO * old) - old)
--- a/lagoonpost/systems/demand.py
+++ b/lagoonpost/systems/demand.py
@@ -18,20 +18,20 @@
 
 from lagoonpost.tables.configuration import Workspace
 
-RATE_SECONDS = 5.0
+RATE_WINDOW_SECONDS = 5.0
 """Time over which the rate is averaged: an eighth of the waves in which
 callers come, and long enough for some tens of prompts."""
-WAIT_SECONDS = 0.8
+MAX_BACKLOG_SECONDS = 0.8
 """Reading under way that one runner may have: callers of drafts wait 0.8 s
 and more for the first word."""
-WAIT_AVERAGE = 1.5
+BACKLOG_AVERAGING_SECONDS = 1.5
 """Time over which what is under way is averaged, so that one prompt of
 40,000 tokens, a second of reading, is no reason for another runner."""
-FALL_SECONDS = 10.0
+DECAY_SECONDS = 10.0
 """Time in which a load that fell is forgotten to a third."""
 
 
-EXPECTED_SHARE = 0.5
+EXPECTED_QUOTA_SHARE = 0.5
 """Part of the workspaces' quotas that is expected to be read at first: quotas
 are set at about twice the usual, and nothing of the prompts is held yet. At a
 quarter, the first two seconds of 684 requests had 0.74 of their worth."""
@@ -53,7 +53,9 @@
     pace: float
 
 
-def expect_busy(workspaces: Iterable[Workspace], pace: float) -> float:
+def estimate_initial_busy(
+    workspaces: Iterable[Workspace], pace: float
+) -> float:
     """Return the runners that callers of some workspaces will keep busy.
 
     Before the first request nothing but the quotas says how many will come.
@@ -66,7 +68,7 @@
         pace: Seconds that one runner takes for a token.
     """
     allowed = sum(each.rate for each in workspaces if each.by_tokens)
-    return EXPECTED_SHARE * allowed * pace
+    return EXPECTED_QUOTA_SHARE * allowed * pace
 
 
 class DemandMeter:
@@ -80,9 +82,9 @@
             it holds until they come, and is forgotten like any load.
     """
 
-    def __init__(self, known: bool, expected: float = 0.0) -> None:
-        self._known = known
-        self._begun = not known
+    def __init__(self, starts_idle: bool, expected: float = 0.0) -> None:
+        self._known = starts_idle
+        self._begun = not starts_idle
         self._samples: deque[Sample] = deque()
         self._waiting = 0.0
         self._busy = expected
@@ -92,20 +94,24 @@
         samples = self._samples
         passed = sample.at - samples[-1].at if samples else 0.0
         samples.append(sample)
-        while len(samples) > 2 and samples[1].at <= sample.at - RATE_SECONDS:
+        while (
+            len(samples) > 2
+            and samples[1].at <= sample.at - RATE_WINDOW_SECONDS
+        ):
             samples.popleft()
-        if sample.at - samples[0].at >= RATE_SECONDS:
+        if sample.at - samples[0].at >= RATE_WINDOW_SECONDS:
             self._known = True
-        recent = 1 - math.exp(-passed / WAIT_AVERAGE)
+        recent = 1 - math.exp(-passed / BACKLOG_AVERAGING_SECONDS)
         under_way = sample.waiting * sample.pace
         self._waiting += recent * (under_way - self._waiting)
         busy = max(
-            self._measure_rate() * sample.pace, self._waiting / WAIT_SECONDS
+            self._measure_rate() * sample.pace,
+            self._waiting / MAX_BACKLOG_SECONDS,
         )
         self._begun = self._begun or busy > 0
         if not self._begun:
             return
-        fall = math.exp(-passed / FALL_SECONDS)
+        fall = math.exp(-passed / DECAY_SECONDS)
         self._busy = max(busy, busy + (self._busy - busy) * fall)
 
     def busy(self) -> float | None:
@@ -128,7 +134,7 @@
         if not self._samples:
             return 0.0
         first, last = self._samples[0], self._samples[-1]
-        if last.at - first.at < RATE_SECONDS / 2:
+        if last.at - first.at < RATE_WINDOW_SECONDS / 2:
             return 0.0
         # A restarted gateway's counters begin anew.
         return max(0.0, last.total - first.total) / (last.at - first.at)
--- a/lagoonpost/systems/dispatch.py
+++ b/lagoonpost/systems/dispatch.py
@@ -2,24 +2,24 @@
 
 from random import Random
 
-from lagoonpost.systems.admission import learn_wait
+from lagoonpost.systems.admission import update_wait_bias
 from lagoonpost.systems.affinity import decay_work
 from lagoonpost.systems.backoff import add_jitter
 from lagoonpost.systems.cost import count_tokens
 from lagoonpost.systems.ejection import find_probe, schedule_next_probe
 from lagoonpost.systems.event import Action, Dispatch, Refuse
-from lagoonpost.systems.headroom import is_protected, protected_room
+from lagoonpost.systems.headroom import is_protected, protected_headroom
 from lagoonpost.systems.pool import Moved, Pool
 from lagoonpost.systems.queueing import (
     CLASSES,
-    SHORT,
+    SHORT_CLASSES,
     FairQueue,
-    Waiting,
+    QueuedRequest,
     order_classes,
 )
 from lagoonpost.systems.routing import (
     Choice,
-    choose_alone,
+    choose_isolated,
     choose_runner,
     count_version,
 )
@@ -27,7 +27,7 @@
 from lagoonpost.tables.request import RequestRow
 
 # One event's work is bounded; what is left goes at the next event or tick.
-MOST_DISPATCHED = 64
+MAX_DISPATCHED = 64
 
 
 def dispatch_waiting(pool: Pool, now: float, rng: Random) -> list[Action]:
@@ -43,7 +43,7 @@
     """
     actions = expire(pool, now, rng)
     actions += _dispatch_moved(pool, now, rng)
-    for _ in range(MOST_DISPATCHED):
+    for _ in range(MAX_DISPATCHED):
         entry = _next_entry(pool, now)
         if entry is None:
             break
@@ -54,7 +54,7 @@
         queue = pool.queues[entry.request.request_class]
         queue.remove(entry.request.id)
         queue.serve(entry)
-        learn_wait(pool, entry, now)
+        update_wait_bias(pool, entry, now)
         pool.budget.earn()
         count_version(pool, choice.load.runner.version)
         actions.append(_send(pool, entry.request, choice, now))
@@ -69,45 +69,49 @@
     """
     actions: list[Action] = []
     for queue in pool.queues.values():
-        for entry in queue.expired(now):
+        for entry in queue.pop_expired(now):
             actions.append(_give_up(pool, queue, entry, now, rng))
     for moved in list(pool.moved.values()):
         reason = _timed_out(pool, moved, now)
         if reason:
-            forget(pool, moved.request.id)
+            forget_request(pool, moved.request.id)
             delay = add_jitter(1.0, rng)
             actions.append(Refuse(moved.request.id, 503, reason, delay))
     return actions
 
 
-def review(pool: Pool, now: float, rng: Random) -> list[Action]:
+def refuse_late(pool: Pool, now: float, rng: Random) -> list[Action]:
     """Refuse at once what lost its chance when capacity was lost."""
     actions: list[Action] = []
     for name in CLASSES:
         queue = pool.queues[name]
         ahead = 0.0
-        if name not in SHORT:
-            ahead = sum(sum(pool.queues[s].backlog.values()) for s in SHORT)
+        if name not in SHORT_CLASSES:
+            ahead = sum(
+                sum(pool.queues[s].backlog.values()) for s in SHORT_CLASSES
+            )
         for entry in sorted(queue.waiting.values(), key=lambda e: e.start):
             route = pool.routes.get(entry.request.route)
-            if now + ahead / pool.drain(route) > entry.latest:
+            if now + ahead / pool.drain_rate(route) > entry.latest_dispatch:
                 actions.append(_give_up(pool, queue, entry, now, rng))
             else:
                 ahead += entry.cost
     return actions
 
 
-def land(pool: Pool, request_id: str, now: float) -> InFlightRequest | None:
+def remove_flight(
+    pool: Pool, request_id: str, now: float
+) -> InFlightRequest | None:
     """Take a request off its runner's count and return its flight."""
     flight = pool.flights.pop(request_id, None)
     if flight is None:
         return None
     pool.drafts -= flight.request_class == "draft"
-    left = pool.used.get(flight.workspace, 0.0) - flight.cost
+    left = pool.tokens_in_flight.get(flight.workspace, 0.0) - flight.cost
     if left > 1e-6:
-        pool.used[flight.workspace] = left
+        pool.tokens_in_flight[flight.workspace] = left
     else:
-        pool.used.pop(flight.workspace, None)
+        pool.tokens_in_flight.pop(flight.workspace, None)
     load = pool.loads.get(flight.runner)
     # A runner that left took its requests out of the count with it.
     if load is not None and load.remove(request_id, now):
@@ -115,38 +119,38 @@
     return flight
 
 
-def forget(pool: Pool, request_id: str) -> None:
+def forget_request(pool: Pool, request_id: str) -> None:
     """Drop all that is known of a request that has left its runner."""
     pool.tried.pop(request_id, None)
-    withdraw(pool, request_id)
+    cancel_wait(pool, request_id)
 
 
-def withdraw(pool: Pool, request_id: str) -> None:
+def cancel_wait(pool: Pool, request_id: str) -> None:
     """Stop waiting for a runner; the ones that were tried stay known.
 
     Without them a request that crashes nothing would go back to the runner
     that was just lost under it.
     """
     pool.moved.pop(request_id, None)
-    release(pool, request_id)
+    release_exclusive(pool, request_id)
     for queue in pool.queues.values():
         queue.remove(request_id)
 
 
-def release(pool: Pool, request_id: str) -> None:
+def release_exclusive(pool: Pool, request_id: str) -> None:
     """Give the runner that a suspect had to itself back to all."""
-    if pool.alone.pop(request_id, None) is None:
+    if pool.isolated.pop(request_id, None) is None:
         return
     for load in pool.loads.values():
         if load.exclusive == request_id:
             load.exclusive = None
 
 
-def _next_entry(pool: Pool, now: float) -> Waiting | None:
+def _next_entry(pool: Pool, now: float) -> QueuedRequest | None:
     free = pool.free
     if free < 1 and _probe_due(pool, now):
         free = 1.0
-    if free < 1 - protected_room(pool):
+    if free < 1 - protected_headroom(pool):
         return None
     for name in order_classes(pool.queues, pool.drafts, pool.own):
         entry = pool.queues[name].head()
@@ -179,8 +183,8 @@
 def _choose_moved(
     pool: Pool, moved: Moved, now: float, rng: Random
 ) -> Choice | None:
-    if moved.request.id in pool.alone:
-        return choose_alone(pool, moved.request, now)
+    if moved.request.id in pool.isolated:
+        return choose_isolated(pool, moved.request, now)
     return choose_runner(pool, moved.request, now, rng, moved.version)
 
 
@@ -194,7 +198,7 @@
             continue
         del pool.moved[moved.request.id]
         actions.append(_send(pool, moved.request, choice, now))
-        if len(actions) >= MOST_DISPATCHED:
+        if len(actions) >= MAX_DISPATCHED:
             break
     return actions
 
@@ -217,7 +221,7 @@
     )
 
 
-def attach(
+def attach_running(
     pool: Pool, request: RequestRow, load: RunnerLoad, now: float
 ) -> None:
     """Count a request that already runs there, for a caller who is back."""
@@ -253,17 +257,19 @@
     load.assigned += cost
     pool.own += 1
     pool.drafts += request.request_class == "draft"
-    pool.used[request.workspace] = pool.used.get(request.workspace, 0.0) + cost
+    pool.tokens_in_flight[request.workspace] = (
+        pool.tokens_in_flight.get(request.workspace, 0.0) + cost
+    )
 
 
 def _give_up(
-    pool: Pool, queue: FairQueue, entry: Waiting, now: float, rng: Random
+    pool: Pool, queue: FairQueue, entry: QueuedRequest, now: float, rng: Random
 ) -> Refuse:
     request = entry.request
     queue.remove(request.id)
     pool.tried.pop(request.id, None)
-    ahead = queue.ahead(request.workspace)
-    drain = pool.drain(pool.routes.get(request.route))
+    ahead = queue.tokens_ahead(request.workspace)
+    drain = pool.drain_rate(pool.routes.get(request.route))
     delay = pool.promises.add(entry.cost, ahead, drain, now)
     return Refuse(request.id, 503, "late", add_jitter(delay, rng))
 
--- a/lagoonpost/systems/ejection.py
+++ b/lagoonpost/systems/ejection.py
@@ -100,7 +100,7 @@
         health.limit = 1.0
     else:
         _raise_limit(health, load.runner.slots, now)
-    pool.count_slots()
+    pool.update_totals()
 
 
 def record_failure(
@@ -125,15 +125,15 @@
         and health.state == "healthy"
     ):
         _eject(health, load.own, now)
-        pool.count_slots()
+        pool.update_totals()
 
 
 def compare_pace(pool: Pool, now: float) -> None:
     """Score each runner by its tokens per stream since the last call."""
-    seconds = now - pool.paced_at
+    seconds = now - pool.pace_compared_at
     if seconds < PACE_SECONDS:
         return
-    pool.paced_at = now
+    pool.pace_compared_at = now
     # Tokens and stream-seconds of each runner since the last comparison.
     paces: dict[str, tuple[int, float]] = {}
     for load in pool.loads.values():
@@ -185,7 +185,7 @@
     for load in slow[:remaining]:
         _eject(load.health, load.own, now)
     if slow:
-        pool.count_slots()
+        pool.update_totals()
     return [load.runner.name for load in slow[:remaining]]
 
 
--- a/lagoonpost/systems/entry.py
+++ b/lagoonpost/systems/entry.py
@@ -26,8 +26,8 @@
 
 from lagoonpost.systems.subset import rendezvous_score
 
-LEAST = 3
-BOUND = 1.25
+MIN_ENTRIES = 3
+MAX_WEIGHT_RATIO = 1.25
 
 
 class Entry(Protocol):
@@ -63,7 +63,7 @@
     total = sum(weights.values())
     if not members or total <= 0:
         return dict.fromkeys(weights, ())
-    most = BOUND * total / len(members)
+    most = MAX_WEIGHT_RATIO * total / len(members)
     given: dict[str, float] = dict.fromkeys((m.name for m in members), 0.0)
     lists = {}
     # The largest first: they are the hardest to fit. Names break ties, so
@@ -80,7 +80,7 @@
 
 def count_entries(share: float, gateways: int) -> int:
     """Return how many gateways a workspace with this share of all uses."""
-    return min(gateways, max(LEAST, ceil(share * gateways)))
+    return min(gateways, max(MIN_ENTRIES, ceil(share * gateways)))
 
 
 def rank_members(members: Sequence[Member], workspace: str) -> list[Member]:
--- a/lagoonpost/systems/gateway.py
+++ b/lagoonpost/systems/gateway.py
@@ -6,16 +6,16 @@
 
 from lagoonpost.systems.admission import admit
 from lagoonpost.systems.attempt import (
-    begin_answer,
     fail_attempt,
-    finish_answer,
+    record_completion,
+    record_first_part,
 )
 from lagoonpost.systems.dispatch import (
-    attach,
+    attach_running,
     dispatch_waiting,
-    forget,
-    land,
-    review,
+    forget_request,
+    refuse_late,
+    remove_flight,
 )
 from lagoonpost.systems.ejection import compare_pace, eject_slow
 from lagoonpost.systems.event import (
@@ -45,7 +45,7 @@
     dispatch_all,
     isolate,
 )
-from lagoonpost.systems.pool import Pool, first_quota
+from lagoonpost.systems.pool import Pool, initial_quota
 from lagoonpost.systems.subset import choose_subset
 from lagoonpost.tables.entity import Runner
 from lagoonpost.tables.load import RunnerLoad
@@ -120,10 +120,10 @@
                 load = known.get(runner.name) or RunnerLoad(runner)
                 load.runner = runner
                 if not load.reported:
-                    load.quota = first_quota(runner, tables.gateways)
+                    load.quota = initial_quota(runner, tables.gateways)
                 pool.loads[runner.name] = load
                 pool.versions[version].append(load)
-        pool.count_slots()
+        pool.update_totals()
 
 
 def _update_gateways(
@@ -148,7 +148,7 @@
         _place_runners(tables)
     actions: list[Action] = []
     for pool in affected:
-        actions += review(pool, now, rng)
+        actions += refuse_late(pool, now, rng)
     return actions
 
 
@@ -183,7 +183,7 @@
     load = pool.loads.get(event.runner)
     # Requests at a runner outside this gateway's subset are not counted.
     if load is not None:
-        attach(pool, event.request, load, now)
+        attach_running(pool, event.request, load, now)
     return []
 
 
@@ -212,7 +212,7 @@
 ) -> list[Action]:
     pool = _find_pool(tables, event.request_id)
     if pool is not None:
-        begin_answer(pool, event, now)
+        record_first_part(pool, event, now)
     return []
 
 
@@ -222,7 +222,7 @@
     pool = _find_pool(tables, event.request_id)
     if pool is None:
         return []
-    finish_answer(pool, tables.requests.pop(event.request_id), event, now)
+    record_completion(pool, tables.requests.pop(event.request_id), event, now)
     return dispatch_waiting(pool, now, rng)
 
 
@@ -248,8 +248,8 @@
     if request is None:
         return []
     pool = tables.pools[request.service]
-    land(pool, request.id, now)
-    forget(pool, request.id)
+    remove_flight(pool, request.id, now)
+    forget_request(pool, request.id)
     return dispatch_waiting(pool, now, rng)
 
 
@@ -260,7 +260,7 @@
     for pool in tables.pools.values():
         compare_pace(pool, now)
         if eject_slow(pool, now):
-            actions += review(pool, now, rng)
+            actions += refuse_late(pool, now, rng)
         actions += dispatch_waiting(pool, now, rng)
     return actions
 
--- a/lagoonpost/systems/gossip.py
+++ b/lagoonpost/systems/gossip.py
@@ -150,7 +150,7 @@
         self._last_tick = now
         view.drop_expired(now)
         for row in view.detector.update_states(view.members.rows, now):
-            view.adopt_member(row, view.me.name, now)
+            view.merge_member(row, view.me.name, now)
         if view.me.state == "left":
             # A member that left still serves accepted requests but receives
             # no pushes, so it pulls updates.
@@ -180,7 +180,7 @@
             return known
         self._turn += 1
         seed = self._seeds[self._turn % len(self._seeds)]
-        return [self.view.call_place("", seed, "sync", now)]
+        return [self.view.call_address("", seed, "sync", now)]
 
     def _call_unknown_addresses(self, now: float, rng: Random) -> list[Action]:
         if not self._unknown_addresses:
@@ -193,7 +193,7 @@
         )
         self._unknown_addresses.difference_update(chosen)
         return [
-            self.view.call_place("", address, "sync", now)
+            self.view.call_address("", address, "sync", now)
             for address in chosen
         ]
 
@@ -211,7 +211,7 @@
         if not targets:
             return []
         name, address = rng.choice(targets)
-        return [self.view.call_place(name, address, "heal", now)]
+        return [self.view.call_address(name, address, "heal", now)]
 
     def _find_remote_targets(self, now: float) -> list[tuple[str, str]]:
         # While regions are partitioned, all bridge members of the remote
@@ -230,7 +230,7 @@
         return self._push("push", now)
 
     def _push(self, purpose: Purpose, now: float) -> list[Action]:
-        news = self.view.take_news()
+        news = self.view.take_updates()
         actions: list[Action] = []
         for name in self.view.neighbours(now):
             packet = news.pack(self.view, name)
@@ -241,13 +241,13 @@
     def _publish(
         self, event: Publish, now: float, rng: Random
     ) -> list[Action]:
-        self.view.adopt_fact(event.fact, self.view.me.name, now)
+        self.view.merge_fact(event.fact, self.view.me.name, now)
         return []
 
     def _leave(self, event: Leave, now: float, rng: Random) -> list[Action]:
         me = self.view.me
         row = me._replace(state="left", changed=now)
-        self.view.adopt_member(row, me.name, now)
+        self.view.merge_member(row, me.name, now)
         return self._push("leave", now)
 
     def _receive(
@@ -255,7 +255,7 @@
     ) -> list[Action]:
         packet = event.packet
         view = self.view
-        view.adopt(packet, packet.sender, now)
+        view.merge_rows(packet, packet.sender, now)
         view.detector.clear(packet.sender)
         view.detector.clear(packet.reached)
         actions: list[Action] = [self._answer(packet, now)]
@@ -289,7 +289,7 @@
     ) -> list[Action]:
         call, reply = event
         view = self.view
-        view.adopt(reply, reply.sender, now)
+        view.merge_rows(reply, reply.sender, now)
         view.detector.clear(reply.sender)
         if call.target not in ("", reply.sender):
             # The address of a lost host was reassigned to another member,
--- a/lagoonpost/systems/headroom.py
+++ b/lagoonpost/systems/headroom.py
@@ -28,12 +28,12 @@
 
 from lagoonpost.systems.cost import count_tokens
 from lagoonpost.systems.pool import Pool
-from lagoonpost.systems.queueing import SHORT
+from lagoonpost.systems.queueing import SHORT_CLASSES
 from lagoonpost.tables.request import RequestRow
 
-ALONE = 2.0
-PROTECTED = 1 / 8
-DRAFTS_MOST = 0.5
+SINGLE_DOMAIN_RATIO = 2.0
+PROTECTED_SHARE = 1 / 8
+MAX_DRAFT_SHARE = 0.5
 
 
 def moved_limit(slots: int, domains: int) -> int:
@@ -44,13 +44,13 @@
         domains: Failure domains that the service had before the loss.
     """
     if domains < 2:
-        return math.ceil(slots * ALONE)
+        return math.ceil(slots * SINGLE_DOMAIN_RATIO)
     return math.ceil(slots * domains / (domains - 1))
 
 
 def protected_limit(slots: int) -> int:
     """Return how many requests a runner may have with protected ones."""
-    return slots + math.ceil(slots * PROTECTED)
+    return slots + math.ceil(slots * PROTECTED_SHARE)
 
 
 def is_protected(pool: Pool, request: RequestRow, start: float) -> bool:
@@ -64,18 +64,18 @@
         request: The request.
         start: Its start tag.
     """
-    if request.request_class not in SHORT:
+    if request.request_class not in SHORT_CLASSES:
         return False
-    if pool.drafts > DRAFTS_MOST * pool.own:
+    if pool.drafts > MAX_DRAFT_SHARE * pool.own:
         return True
     # Estimates that were too high put a workspace that takes all it can get
     # behind its share now and then; but that one has more in the queue.
     queue = pool.queues[request.request_class]
     queued = queue.backlog.get(request.workspace, 0.0)
     alone = queued <= count_tokens(request)
-    return alone and queue.is_within(request.workspace, start)
+    return alone and queue.is_within_share(request.workspace, start)
 
 
-def protected_room(pool: Pool) -> float:
+def protected_headroom(pool: Pool) -> float:
     """Return how far protected work may go over our quota."""
-    return math.ceil(pool.slots * PROTECTED)
+    return math.ceil(pool.slots * PROTECTED_SHARE)
--- a/lagoonpost/systems/isolation.py
+++ b/lagoonpost/systems/isolation.py
@@ -12,7 +12,11 @@
 
 from random import Random
 
-from lagoonpost.systems.dispatch import dispatch_waiting, forget, withdraw
+from lagoonpost.systems.dispatch import (
+    cancel_wait,
+    dispatch_waiting,
+    forget_request,
+)
 from lagoonpost.systems.event import Action, Quarantined, Refuse
 from lagoonpost.systems.gateway_tables import GatewayTables
 from lagoonpost.systems.pool import Isolation, Moved, Pool
@@ -40,7 +44,7 @@
         if request.fingerprint != event.fingerprint:
             continue
         if request.id not in pool.flights:
-            forget(pool, request.id)
+            forget_request(pool, request.id)
             actions.append(Refuse(request.id, POISON_STATUS, "poison", None))
     return actions
 
@@ -53,7 +57,7 @@
         if request.id in pool.flights:
             continue
         # A new suspect changes the rank of the suspects that already wait.
-        if request.fingerprint == fingerprint or request.id in pool.alone:
+        if request.fingerprint == fingerprint or request.id in pool.isolated:
             isolate(tables, pool, request, now)
     return dispatch_all(tables, now, rng)
 
@@ -64,9 +68,9 @@
     tables.avoid.pop(fingerprint, None)
     for request in tables.requests.values():
         pool = tables.pools[request.service]
-        waits = request.id in pool.alone and request.id not in pool.flights
+        waits = request.id in pool.isolated and request.id not in pool.flights
         if waits and request.fingerprint == fingerprint:
-            withdraw(pool, request.id)
+            cancel_wait(pool, request.id)
             pool.moved[request.id] = Moved(request, "", True, now)
     return dispatch_all(tables, now, rng)
 
@@ -85,10 +89,10 @@
     # Other gateways' suspects of the same lost runner are not known yet; their
     # gateway would send them to the same next runner.
     ready = now + GOSSIP_SECONDS
-    if moved is not None and request.id in pool.alone:
+    if moved is not None and request.id in pool.isolated:
         ready = moved.ready
-    withdraw(pool, request.id)
-    pool.alone[request.id] = Isolation(
+    cancel_wait(pool, request.id)
+    pool.isolated[request.id] = Isolation(
         tables.avoid.get(request.fingerprint, frozenset()),
         suspects.index(request.fingerprint),
     )
@@ -104,7 +108,7 @@
     verdict = tables.verdicts.get(request.fingerprint)
     if verdict == "refused":
         # The request would crash the next runner as well.
-        forget(pool, request.id)
+        forget_request(pool, request.id)
         return [Refuse(request.id, POISON_STATUS, "poison", None)]
     if verdict == "alone":
         isolate(tables, pool, request, now)
--- a/lagoonpost/systems/placement.py
+++ b/lagoonpost/systems/placement.py
@@ -20,49 +20,49 @@
 from random import Random
 from typing import NamedTuple
 
-from lagoonpost.systems.home import HomeOrders, find_holder
+from lagoonpost.systems.session_affinity import RankingCache, find_copy_source
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.gateway_report import RunnerWork
 from lagoonpost.tables.metadata import PromptPart
 
-FIRST_TOKEN_PACE = 1 / 30_000
+DEFAULT_SECONDS_PER_TOKEN = 1 / 30_000
 """Seconds a prompt token until something is measured: what engines of today
 read on one accelerator."""
-FIRST_PLAIN_PACE = 0.05
+DEFAULT_PLAIN_SECONDS = 0.05
 """Seconds of work of a plain request until something is measured."""
-LEARNING = 0.15
+AVERAGING_GAIN = 0.15
 """Part of a new measurement in the mean: some ten answers are remembered."""
-FADE_SECONDS = 5.0
+SLOWNESS_DECAY_SECONDS = 5.0
 """Time in which what was learned of a runner's own pace loses two thirds."""
-SLOWEST, FASTEST = 20.0, 0.25
+MAX_SLOWNESS, MIN_SLOWNESS = 20.0, 0.25
 """Bounds of a runner's pace against its service's, so that one answer that
 was held up elsewhere can't shut a runner out for long."""
-ALONE_FASTER, ALONE_SLOWER = 0.4, 0.03
+UNLOADED_FASTER_GAIN, UNLOADED_SLOWER_GAIN = 0.4, 0.03
 """The same for the pace of a prompt alone, by whether a measurement is faster
 or slower. What we hold to be alone may wait behind a prompt that another
 gateway has just sent, so that the faster measurements are the true ones."""
-LEAST_TOKENS = 400
+MIN_PACE_TOKENS = 400
 """Prompts below this say more about the way there than about pace."""
-ALONE_TOKENS = 1500
+MIN_UNLOADED_TOKENS = 1500
 """Prompts from here on take so long to read that the way there is a tenth."""
-OVERHEAD_SLOWER = 0.01
+OVERHEAD_SLOWER_GAIN = 0.01
 """Part of a slower measurement in the time to a first byte that is not
 reading: the way there, a first step. Waiting makes most of them slower."""
-MEMORY_SECONDS = 30.0
+CACHED_SECONDS = 30.0
 """How long a part is taken to stay in a runner's memory after its use."""
-FAILURE_SECONDS = 1.0
+FAILURE_PENALTY_SECONDS = 1.0
 """Wait that a runner which fails all its requests is held to be worth."""
-SUSPECT_SECONDS = 0.5
-SUSPECT_MOST = 4.0
+MIN_SUSPECT_SECONDS = 0.5
+MAX_SUSPECT_SECONDS = 4.0
 """How long a runner that can't be reached is passed over: at first and at
 most; a crashed one is back after some seconds, and each try costs one
 caller a connection's time-out."""
-STEP_SECONDS = 0.0005
+STEP_OVERHEAD_SECONDS = 0.0005
 """What each request that runs beside adds to a step, roughly; it only
 decides between runners that are otherwise alike."""
 
 
-class Wanted(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What placement has to know of a request.
 
     Attributes:
@@ -93,10 +93,10 @@
 
     endpoint: Endpoint
     seconds: float
-    unread: int
+    uncached_tokens: int
     suspect: bool
-    alone: bool = False
-    holder: Endpoint | None = None
+    unloaded: bool = False
+    copy_source: Endpoint | None = None
 
 
 class RunnerState:
@@ -111,7 +111,7 @@
     def __init__(self) -> None:
         self.requests = 0
         self.tokens = 0
-        self.others = RunnerWork()
+        self.peer_work = RunnerWork()
         self.failure_rate = 0.0
         self._slowness = 1.0
         self._measured = -math.inf
@@ -124,25 +124,27 @@
         if self._slowness == 1.0:
             return 1.0
         age = max(0.0, now - self._measured)
-        fade = math.exp(-age / FADE_SECONDS)
+        fade = math.exp(-age / SLOWNESS_DECAY_SECONDS)
         return float(self._slowness**fade)
 
     def note_pace(self, ratio: float, now: float) -> None:
         """Learn from one answer's time against the predicted one."""
-        ratio = min(SLOWEST, max(FASTEST, ratio))
-        logarithm = (1 - LEARNING) * math.log(self.slowness(now))
-        logarithm += LEARNING * math.log(ratio)
+        ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
+        logarithm = (1 - AVERAGING_GAIN) * math.log(self.slowness(now))
+        logarithm += AVERAGING_GAIN * math.log(ratio)
         self._slowness = math.exp(logarithm)
         self._measured = now
 
     def note_outcome(self, failed: bool) -> None:
         """Learn from an answer that failed or did not."""
-        self.failure_rate += LEARNING * (float(failed) - self.failure_rate)
+        self.failure_rate += AVERAGING_GAIN * (
+            float(failed) - self.failure_rate
+        )
 
     def note_unreachable(self, now: float) -> None:
         """Pass over it for a while, longer each time in a row."""
-        doubled = max(SUSPECT_SECONDS, 2 * self._suspect_for)
-        self._suspect_for = min(SUSPECT_MOST, doubled)
+        doubled = max(MIN_SUSPECT_SECONDS, 2 * self._suspect_for)
+        self._suspect_for = min(MAX_SUSPECT_SECONDS, doubled)
         self._suspect_until = now + self._suspect_for
 
     def note_reached(self) -> None:
@@ -159,16 +161,18 @@
         for part in parts:
             self._parts[part.id] = now
         if len(self._parts) > _MOST_PARTS:
-            oldest = now - MEMORY_SECONDS
+            oldest = now - CACHED_SECONDS
             self._parts = {
                 id_: used for id_, used in self._parts.items() if used > oldest
             }
 
-    def count_held(self, parts: Sequence[PromptPart], now: float) -> int:
+    def count_cached_tokens(
+        self, parts: Sequence[PromptPart], now: float
+    ) -> int:
         """Return the tokens at a prompt's beginning that it holds."""
         held = 0
         for part in parts:
-            if now - self._parts.get(part.id, -math.inf) > MEMORY_SECONDS:
+            if now - self._parts.get(part.id, -math.inf) > CACHED_SECONDS:
                 break
             held += part.tokens
         return held
@@ -190,9 +194,9 @@
     def __init__(self) -> None:
         self.states: dict[str, RunnerState] = {}
         self._pace: dict[str, float] = {}
-        self.paces_alone: dict[str, float] = {}
+        self.unloaded_paces: dict[str, float] = {}
         self._overheads: dict[str, float] = {}
-        self._homes = HomeOrders()
+        self._homes = RankingCache()
 
     def state(self, runner: str) -> RunnerState:
         """Return the state of a runner, new if it is not known."""
@@ -208,22 +212,26 @@
             if runner not in kept and not self.states[runner].requests:
                 del self.states[runner]
 
-    def hear(self, others: Mapping[str, RunnerWork]) -> None:
+    def update_from_peers(self, others: Mapping[str, RunnerWork]) -> None:
         """Take the sum of the other gateways' open work by runner."""
         for runner, state in self.states.items():
-            state.others = others.get(runner, RunnerWork())
+            state.peer_work = others.get(runner, RunnerWork())
         for runner, work in others.items():
-            self.state(runner).others = work
+            self.state(runner).peer_work = work
 
-    def pace(self, wanted: Wanted) -> float:
+    def pace(self, wanted: PlacementRequest) -> float:
         """Return the service's mean pace in seconds a token or request."""
-        first = FIRST_TOKEN_PACE if wanted.engine else FIRST_PLAIN_PACE
+        first = (
+            DEFAULT_SECONDS_PER_TOKEN
+            if wanted.engine
+            else DEFAULT_PLAIN_SECONDS
+        )
         return self._pace.get(wanted.service, first)
 
     def choose(
         self,
         endpoints: Sequence[Endpoint],
-        wanted: Wanted,
+        wanted: PlacementRequest,
         now: float,
         rng: Random,
         leaving: Sequence[Endpoint] = (),
@@ -252,7 +260,10 @@
         for each in endpoints:
             state = self.state(each.id)
             predicted = predict(state, each, wanted, home, pace, now)
-            waits = predicted.seconds + state.failure_rate * FAILURE_SECONDS
+            waits = (
+                predicted.seconds
+                + state.failure_rate * FAILURE_PENALTY_SECONDS
+            )
             rank = state.is_suspect(now), waits, rng.random()
             if found is None or rank < found:
                 found, best = rank, (each, predicted)
@@ -266,56 +277,64 @@
             unread,
             self.state(endpoint.id).is_suspect(now),
             alone,
-            find_holder(reachable, endpoint, wanted.parts)
+            find_copy_source(reachable, endpoint, wanted.parts)
             if wanted.engine
             else None,
         )
 
-    def note_sent(self, choice: Choice, wanted: Wanted, now: float) -> None:
+    def note_sent(
+        self, choice: Choice, wanted: PlacementRequest, now: float
+    ) -> None:
         """Count a request that is on its way."""
         state = self.state(choice.endpoint.id)
         state.requests += 1
-        state.tokens += choice.unread
+        state.tokens += choice.uncached_tokens
         state.note_parts(wanted.parts, now)
 
     def note_first_byte(
-        self, choice: Choice, wanted: Wanted, took: float, now: float
+        self, choice: Choice, wanted: PlacementRequest, took: float, now: float
     ) -> None:
         """Learn from the time to the first byte; the prompt is read."""
         state = self.state(choice.endpoint.id)
-        state.tokens = max(0, state.tokens - choice.unread)
-        if wanted.engine and choice.unread < LEAST_TOKENS:
+        state.tokens = max(0, state.tokens - choice.uncached_tokens)
+        if wanted.engine and choice.uncached_tokens < MIN_PACE_TOKENS:
             self._note_overhead(wanted.service, took)
             return
-        if wanted.engine and choice.alone and choice.unread > ALONE_TOKENS:
-            self._note_alone(wanted.service, choice.unread, took)
+        if (
+            wanted.engine
+            and choice.unloaded
+            and choice.uncached_tokens > MIN_UNLOADED_TOKENS
+        ):
+            self._note_alone(wanted.service, choice.uncached_tokens, took)
         ratio = took / max(1e-4, choice.seconds)
         slowness = state.slowness(now)
         state.note_pace(ratio * slowness, now)
-        bounded = min(SLOWEST, max(FASTEST, ratio * slowness))
+        bounded = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio * slowness))
         pace = self.pace(wanted)
         self._pace[wanted.service] = pace * bounded**_SHARED_LEARNING
 
     def _note_overhead(self, service: str, took: float) -> None:
         """Learn the time to a first byte that no reading takes."""
         before = self._overheads.get(service, took)
-        rate = 1.0 if took < before else OVERHEAD_SLOWER
+        rate = 1.0 if took < before else OVERHEAD_SLOWER_GAIN
         self._overheads[service] = before + rate * (took - before)
 
     def _note_alone(self, service: str, unread: int, took: float) -> None:
         """Learn the pace of a prompt alone, without what is not reading."""
         overhead = min(self._overheads.get(service, 0.0), took / 2)
         sample = (took - overhead) / unread
-        before = self.paces_alone.get(service, sample)
-        rate = ALONE_FASTER if sample < before else ALONE_SLOWER
-        self.paces_alone[service] = before + rate * (sample - before)
+        before = self.unloaded_paces.get(service, sample)
+        rate = (
+            UNLOADED_FASTER_GAIN if sample < before else UNLOADED_SLOWER_GAIN
+        )
+        self.unloaded_paces[service] = before + rate * (sample - before)
 
     def note_ended(self, choice: Choice, began: bool) -> None:
         """Count a request that has left the runner."""
         state = self.state(choice.endpoint.id)
         state.requests = max(0, state.requests - 1)
         if not began:
-            state.tokens = max(0, state.tokens - choice.unread)
+            state.tokens = max(0, state.tokens - choice.uncached_tokens)
 
     def report(self) -> dict[str, RunnerWork]:
         """Return the own open work by runner, for the other gateways."""
@@ -334,42 +353,44 @@
     """Seconds to the first byte, tokens to read, whether nothing is ahead."""
 
     seconds: float
-    unread: int
-    alone: bool
+    uncached_tokens: int
+    unloaded: bool
 
 
 def _predict_plain(
     state: RunnerState,
     endpoint: Endpoint,
-    wanted: Wanted,
+    wanted: PlacementRequest,
     home: str,
     pace: float,
     now: float,
 ) -> _Predicted:
-    running = state.requests + state.others.requests
+    running = state.requests + state.peer_work.requests
     turns = max(1.0, (running + 1) / max(1, endpoint.slots))
     # Runners that are otherwise alike share the requests.
-    seconds = pace * state.slowness(now) * turns + running * STEP_SECONDS
+    seconds = (
+        pace * state.slowness(now) * turns + running * STEP_OVERHEAD_SECONDS
+    )
     return _Predicted(seconds, 0, False)
 
 
 def _predict_prompt(
     state: RunnerState,
     endpoint: Endpoint,
-    wanted: Wanted,
+    wanted: PlacementRequest,
     home: str,
     pace: float,
     now: float,
 ) -> _Predicted:
-    running = state.requests + state.others.requests
+    running = state.requests + state.peer_work.requests
     pace *= state.slowness(now)
-    held = state.count_held(wanted.parts, now)
+    held = state.count_cached_tokens(wanted.parts, now)
     if endpoint.id == home and len(wanted.parts) > 1:
         shared = sum(part.tokens for part in wanted.parts[:-1])
         held = max(held, shared)
     unread = max(1, wanted.prompt - held)
-    ahead = state.tokens + state.others.tokens
-    seconds = (ahead + unread) * pace + running * STEP_SECONDS
+    ahead = state.tokens + state.peer_work.tokens
+    seconds = (ahead + unread) * pace + running * STEP_OVERHEAD_SECONDS
     if running >= endpoint.slots:
         seconds += pace * ahead / max(1, running)
     return _Predicted(seconds, unread, ahead == 0)
--- a/lagoonpost/systems/pool.py
+++ b/lagoonpost/systems/pool.py
@@ -23,21 +23,21 @@
 # A report's view of other gateways' work fades into the mean of all runners
 # with this time constant: about a request's time in a slot, after which what
 # was counted has left.
-REPORT_FADE = 2.0
+REPORT_DECAY_SECONDS = 2.0
 # Work sent ahead of free slots, as a part of the slots, is at most this: an
 # engine bears half as much again (see headroom).
-AHEAD_MOST = 1 / 8
+MAX_SENT_AHEAD_SHARE = 1 / 8
 REPORT_GAIN = 0.2
-FIRST_PARTS = 3
+INITIAL_QUOTA_PARTS = 3
 
 
-def first_quota(runner: Runner, gateways: int) -> int:
+def initial_quota(runner: Runner, gateways: int) -> int:
     """Return our requests at a runner that has not reported yet.
 
     Gateways that start together would else each fill the whole runner. A
     workspace uses few gateways (see entry), so one may get several parts.
     """
-    part = min(1.0, FIRST_PARTS / max(1, gateways))
+    part = min(1.0, INITIAL_QUOTA_PARTS / max(1, gateways))
     return max(1, math.ceil(runner.slots * part))
 
 
@@ -98,7 +98,7 @@
     routes: dict[str, Route] = field(default_factory=dict)
     shares: dict[str, float] = field(default_factory=dict)
     sent: int = 0
-    given: Counter[str] = field(default_factory=Counter)
+    sent_by_version: Counter[str] = field(default_factory=Counter)
     loads: dict[str, RunnerLoad] = field(default_factory=dict)
     versions: dict[str, list[RunnerLoad]] = field(default_factory=dict)
     slots: float = 0.0
@@ -106,16 +106,18 @@
     drafts: int = 0
     others: float = 0.0
     quota: float = 0.0
-    gap: float = 0.0
-    paced_at: float = 0.0
+    report_interval: float = 0.0
+    pace_compared_at: float = 0.0
     domains: int = 1
-    used: dict[str, float] = field(default_factory=dict)
-    bias: dict[tuple[RequestClass, str], float] = field(default_factory=dict)
+    tokens_in_flight: dict[str, float] = field(default_factory=dict)
+    wait_bias: dict[tuple[RequestClass, str], float] = field(
+        default_factory=dict
+    )
     flights: dict[str, InFlightRequest] = field(default_factory=dict)
     queues: dict[RequestClass, FairQueue] = field(
         default_factory=lambda: {name: FairQueue() for name in CLASSES}
     )
-    alone: dict[str, Isolation] = field(default_factory=dict)
+    isolated: dict[str, Isolation] = field(default_factory=dict)
     moved: dict[str, Moved] = field(default_factory=dict)
     tried: dict[str, set[str]] = field(default_factory=dict)
     rates: Rates = field(default_factory=Rates)
@@ -133,7 +135,7 @@
         """Requests in the queues."""
         return sum(len(queue.waiting) for queue in self.queues.values())
 
-    def share(self) -> float:
+    def own_share(self) -> float:
         """Return our part of the work in flight, above 0.
 
         One is added to both sides: a gateway that has nothing in flight yet
@@ -141,16 +143,16 @@
         """
         return (self.own + 1.0) / (self.own + self.others + 1.0)
 
-    def drain(self, route: Route | None) -> float:
+    def drain_rate(self, route: Route | None) -> float:
         """Return the tokens a second that leave our queues when full."""
         seconds = self.rates.slot_seconds(1.0, route)
         slots = max(self.slots, 1.0)
-        return slots * self.share() / max(seconds, 1e-6)
+        return slots * self.own_share() / max(seconds, 1e-6)
 
     def occupancy(self, load: RunnerLoad, now: float) -> float:
         """Return a runner's requests: own, and others' by aged report."""
         mean = self.others / max(1, len(self.loads))
-        fresh = math.exp((load.measured_at - now) / REPORT_FADE)
+        fresh = math.exp((load.measured_at - now) / REPORT_DECAY_SECONDS)
         return load.own + fresh * load.others + (1.0 - fresh) * mean
 
     def take_report(self, report: LoadReport, now: float, rng: Random) -> None:
@@ -163,7 +165,7 @@
             return
         if load.reported:
             gap = now - load.measured_at
-            self.gap += REPORT_GAIN * (gap - self.gap)
+            self.report_interval += REPORT_GAIN * (gap - self.report_interval)
         own = load.own_at(report.measured_at)
         others = max(0.0, report.running + report.waiting - own)
         self.set_others(load, others, report.measured_at)
@@ -192,7 +194,7 @@
         """
         slots = load.runner.slots
         target = slots + self._count_ahead(load)
-        part = (target - own - load.others) * self.share()
+        part = (target - own - load.others) * self.own_share()
         quota = max(1, own + math.floor(part + rng.random()))
         self._change_quota(load, quota)
 
@@ -229,10 +231,10 @@
         # sent ahead: as many as end between reports by Little's law.
         if not self.rates.mean_seconds:
             return 0.0
-        ended = load.others * self.gap / self.rates.mean_seconds
-        return min(ended, load.runner.slots * AHEAD_MOST)
+        ended = load.others * self.report_interval / self.rates.mean_seconds
+        return min(ended, load.runner.slots * MAX_SENT_AHEAD_SHARE)
 
-    def count_slots(self) -> None:
+    def update_totals(self) -> None:
         """Sum up slots and work over the runners that are usable now."""
         self.own = sum(load.own for load in self.loads.values())
         self.slots = sum(
--- a/lagoonpost/systems/earlier_use.py
+++ b/lagoonpost/systems/prior_usage.py
@@ -9,14 +9,18 @@
 
 import math
 
-from lagoonpost.systems.quota_limit import find_burst, find_first, find_limit
-from lagoonpost.systems.use_window import Use, UseWindow
+from lagoonpost.systems.quota_limit import (
+    compute_burst,
+    compute_limit,
+    compute_startup_allowance,
+)
+from lagoonpost.systems.sliding_window import Charge, SlidingWindow
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.gateway_report import UsageByAge
 from lagoonpost.tables.quota import QuotaBounds
 
 
-class EarlierUse:
+class PriorUsage:
     """Use by workspace.
 
     Args:
@@ -27,9 +31,9 @@
     def __init__(self, bounds: QuotaBounds, started: float | None) -> None:
         self._bounds = bounds
         self._started = started
-        self._records: dict[str, list[Use]] | None = None
-        self._before: dict[str, UseWindow] = {}
-        self._met: dict[str, UseWindow] = {}
+        self._records: dict[str, list[Charge]] | None = None
+        self._before: dict[str, SlidingWindow] = {}
+        self._met: dict[str, SlidingWindow] = {}
 
     def set_bounds(self, bounds: QuotaBounds) -> None:
         """Keep to other bounds from now on."""
@@ -44,46 +48,48 @@
             return False
         return now - self._started < self._bounds.window
 
-    def take_records(self, records: UsageByAge, now: float) -> None:
+    def load_records(self, records: UsageByAge, now: float) -> None:
         """Take what the store has of the use before this start."""
         self._records = {
-            name: [Use(now - age, units) for age, units in taken]
+            name: [Charge(now - age, units) for age, units in taken]
             for name, taken in records.items()
         }
         self._before.clear()
 
-    def suppose(self, workspace: Workspace) -> None:
+    def assume_unrecorded(self, workspace: Workspace) -> None:
         """Take for used what may have been used before this start."""
         started, name = self._started, workspace.name
         if started is None or name in self._before:
             return
-        burst = find_burst(self._bounds, workspace)
+        burst = compute_burst(self._bounds, workspace)
         if self._records is None:
-            limit = find_limit(self._bounds, workspace)
-            known = [Use(started, limit - burst)]
+            limit = compute_limit(self._bounds, workspace)
+            known = [Charge(started, limit - burst)]
         else:
             # What was recorded since this start is told by those that run.
             known = [
-                Use(min(at, started), units)
+                Charge(min(at, started), units)
                 for at, units in self._records.get(name, ())
             ]
-        unknown = max(0.0, burst - find_first(self._bounds, workspace))
+        unknown = max(
+            0.0, burst - compute_startup_allowance(self._bounds, workspace)
+        )
         after = math.nextafter(started, math.inf)
-        self._before[name] = UseWindow(self._bounds.window)
-        self._before[name].replace([*known, Use(after, unknown)])
+        self._before[name] = SlidingWindow(self._bounds.window)
+        self._before[name].replace([*known, Charge(after, unknown)])
 
-    def meet(self, name: str, units: float, now: float) -> None:
+    def add_peer_usage(self, name: str, units: float, now: float) -> None:
         """Add what a gateway that is heard first let through in the window."""
-        window = self._met.setdefault(name, UseWindow(self._bounds.window))
-        window.add_since(units, now - self._bounds.window, now)
+        window = self._met.setdefault(name, SlidingWindow(self._bounds.window))
+        window.add_spread(units, now - self._bounds.window, now)
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Know nothing of it any more, as a hub tells it with the rest."""
         self._started = None
         self._before.clear()
         self._met.clear()
 
-    def list_names(self) -> set[str]:
+    def workspace_names(self) -> set[str]:
         """Return the workspaces that something is known of."""
         return {*self._before, *self._met}
 
@@ -107,7 +113,7 @@
         since = max(since, self._started)
         return before.find_excess(workspace.rate, since, now)
 
-    def _find_larger(self, name: str, now: float) -> UseWindow | None:
+    def _find_larger(self, name: str, now: float) -> SlidingWindow | None:
         """Return the larger one of two accounts of the same use.
 
         Others tell their own when they are first heard, the store has what
--- a/lagoonpost/systems/queueing.py
+++ b/lagoonpost/systems/queueing.py
@@ -29,13 +29,13 @@
 from lagoonpost.tables.request import RequestRow
 
 CREDIT_SECONDS = 3.0
-DRAFT_FLOOR = 0.2
+DRAFT_FLOOR_SHARE = 0.2
 
 CLASSES: tuple[RequestClass, ...] = ("check", "booking", "draft")
-SHORT: tuple[RequestClass, ...] = ("check", "booking")
+SHORT_CLASSES: tuple[RequestClass, ...] = ("check", "booking")
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """One queued request.
 
     Attributes:
@@ -50,7 +50,7 @@
     request: RequestRow
     cost: float
     start: float
-    latest: float
+    latest_dispatch: float
     queued: float
     predicted: float
 
@@ -70,15 +70,15 @@
 
     weights: dict[str, float] = field(default_factory=dict)
     credit: float = 0.0
-    virtual: float = 0.0
-    finish: dict[str, float] = field(default_factory=dict)
+    virtual_time: float = 0.0
+    finish_tags: dict[str, float] = field(default_factory=dict)
     backlog: defaultdict[str, float] = field(
         default_factory=lambda: defaultdict(float)
     )
-    waiting: dict[str, Waiting] = field(default_factory=dict)
+    waiting: dict[str, QueuedRequest] = field(default_factory=dict)
     heap: list[tuple[float, int, str]] = field(default_factory=list)
     deadlines: list[tuple[float, int, str]] = field(default_factory=list)
-    pushed: int = 0
+    push_count: int = 0
 
     def weight(self, workspace: str) -> float:
         """Return a workspace's declared weight."""
@@ -86,10 +86,12 @@
 
     def next_start(self, workspace: str) -> float:
         """Return the start tag that its next request would get."""
-        earliest = self.virtual - self.credit
-        return max(earliest, self.finish.get(workspace, -math.inf))
+        earliest = self.virtual_time - self.credit
+        return max(earliest, self.finish_tags.get(workspace, -math.inf))
 
-    def is_within(self, workspace: str, start: float | None = None) -> bool:
+    def is_within_share(
+        self, workspace: str, start: float | None = None
+    ) -> bool:
         """Return whether a workspace has had no more than its share.
 
         Args:
@@ -97,11 +99,11 @@
             start: Start tag of a request of it; the next one's by default.
         """
         tag = self.next_start(workspace) if start is None else start
-        return tag < self.virtual
+        return tag < self.virtual_time
 
-    def ahead(self, workspace: str) -> float:
+    def tokens_ahead(self, workspace: str) -> float:
         """Return the tokens queued that go before its next request."""
-        reach = max(0.0, self.next_start(workspace) - self.virtual)
+        reach = max(0.0, self.next_start(workspace) - self.virtual_time)
         return sum(
             queued
             if other == workspace
@@ -109,20 +111,23 @@
             for other, queued in self.backlog.items()
         )
 
-    def push(self, entry: Waiting) -> None:
+    def push(self, entry: QueuedRequest) -> None:
         """Queue a request whose ``start`` is its next start tag."""
         request = entry.request
         workspace = request.workspace
-        self.finish[workspace] = entry.start + entry.cost / self.weight(
+        self.finish_tags[workspace] = entry.start + entry.cost / self.weight(
             workspace
         )
         self.backlog[workspace] += entry.cost
         self.waiting[request.id] = entry
-        self.pushed += 1
-        heappush(self.heap, (entry.start, self.pushed, request.id))
-        heappush(self.deadlines, (entry.latest, self.pushed, request.id))
+        self.push_count += 1
+        heappush(self.heap, (entry.start, self.push_count, request.id))
+        heappush(
+            self.deadlines,
+            (entry.latest_dispatch, self.push_count, request.id),
+        )
 
-    def head(self) -> Waiting | None:
+    def head(self) -> QueuedRequest | None:
         """Return the request that goes next."""
         while self.heap:
             start, _, request_id = self.heap[0]
@@ -132,7 +137,7 @@
             heappop(self.heap)
         return None
 
-    def expired(self, now: float) -> list[Waiting]:
+    def pop_expired(self, now: float) -> list[QueuedRequest]:
         """Return the requests that can no longer make their target."""
         late = []
         while self.deadlines and self.deadlines[0][0] < now:
@@ -142,7 +147,7 @@
                 late.append(entry)
         return late
 
-    def remove(self, request_id: str) -> Waiting | None:
+    def remove(self, request_id: str) -> QueuedRequest | None:
         """Take a request out, to dispatch it or to give it up."""
         entry = self.waiting.pop(request_id, None)
         if entry is None:
@@ -153,14 +158,14 @@
             del self.backlog[workspace]
         return entry
 
-    def serve(self, entry: Waiting) -> None:
+    def serve(self, entry: QueuedRequest) -> None:
         """Advance virtual time by a dispatched request."""
-        self.virtual = max(self.virtual, entry.start)
+        self.virtual_time = max(self.virtual_time, entry.start)
 
-    def correct(self, workspace: str, tokens: float) -> None:
+    def adjust_charge(self, workspace: str, tokens: float) -> None:
         """Charge a workspace for what an answer took beyond its estimate."""
         tag = self.next_start(workspace) + tokens / self.weight(workspace)
-        self.finish[workspace] = tag
+        self.finish_tags[workspace] = tag
 
 
 def order_classes(
@@ -176,11 +181,11 @@
     Returns:
         Classes, first to serve first.
     """
-    owed = queues["draft"].waiting and drafts < DRAFT_FLOOR * flights
+    owed = queues["draft"].waiting and drafts < DRAFT_FLOOR_SHARE * flights
     if owed:
-        return ("draft", *SHORT)
-    heads = [(queues[name].head(), name) for name in SHORT]
-    waiting = [(head.latest, name) for head, name in heads if head]
+        return ("draft", *SHORT_CLASSES)
+    heads = [(queues[name].head(), name) for name in SHORT_CLASSES]
+    waiting = [(head.latest_dispatch, name) for head, name in heads if head]
     if len(waiting) < 2:
         return CLASSES
     return (*(name for _, name in sorted(waiting)), "draft")
--- a/lagoonpost/systems/quota.py
+++ b/lagoonpost/systems/quota.py
@@ -23,27 +23,27 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
-from lagoonpost.systems.earlier_use import EarlierUse
-from lagoonpost.systems.quota_limit import find_burst, find_limit
-from lagoonpost.systems.use_window import Use, UseWindow, sum_recent
+from lagoonpost.systems.prior_usage import PriorUsage
+from lagoonpost.systems.quota_limit import compute_burst, compute_limit
+from lagoonpost.systems.sliding_window import Charge, SlidingWindow, sum_recent
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.gateway_report import UsageByAge
 from lagoonpost.tables.quota import QuotaBounds, QuotaCheck
 
-SHORTEST_WAIT = 0.2
+MIN_RETRY_SECONDS = 0.2
 """Least seconds to tell a refused caller; news is about as old."""
-LONGEST_WAIT = 5.0
+MAX_RETRY_SECONDS = 5.0
 """Most seconds to tell a refused caller; quotas may be raised meanwhile."""
-TELL_SHARE = 0.01
+PUBLISH_SHARE = 0.01
 """Part of a limit after which a gateway tells the others at once what it let
 through, so that nine of them can't let through a tenth unheard."""
-TIGHT_SHARE = 0.7
+NEAR_LIMIT_SHARE = 0.7
 """Part of a limit from which a hub tells its sums at the fastest pace: at
 seven times the usual use, which is about half of a quota, a window goes from
 there to its limit within a second."""
-FEW_GATEWAYS = 9
+PUBLISH_SHARE_GATEWAYS = 9
 """Gateways up to which that part holds; more share it among them."""
-NEWS_SECONDS = 0.2
+PROPAGATION_SECONDS = 0.2
 """Age of the news of what others let through: two reports at the fastest
 pace."""
 
@@ -66,21 +66,21 @@
         self, bounds: QuotaBounds, started: float | None = None
     ) -> None:
         self.used: dict[str, float] = {}
-        self.weighed: QuotaCheck | None = None
-        self.earlier = EarlierUse(bounds, started)
+        self.decision_inputs: QuotaCheck | None = None
+        self.prior_usage = PriorUsage(bounds, started)
         self._bounds = bounds
-        self._windows: dict[str, UseWindow] = {}
+        self._windows: dict[str, SlidingWindow] = {}
         self._heard: dict[tuple[str, str], float] = {}
         self._heard_at: dict[str, float] = {}
         self._untold: dict[str, float] = {}
-        self._own: dict[str, deque[Use]] = {}
+        self._own: dict[str, deque[Charge]] = {}
         self._recorded_at: dict[str, float] = {}
         self._changed: set[str] = set()
 
     def set_bounds(self, bounds: QuotaBounds) -> None:
         """Keep to other bounds from now on."""
         self._bounds = bounds
-        self.earlier.set_bounds(bounds)
+        self.prior_usage.set_bounds(bounds)
         for window in self._windows.values():
             window.seconds = bounds.window
 
@@ -106,9 +106,11 @@
             None if it is let through, else seconds until it would be.
         """
         if workspace.rate <= 0:
-            self.weighed = None
+            self.decision_inputs = None
             return None
-        weighed = self.weighed = self._weigh(workspace, part, now, gateways)
+        weighed = self.decision_inputs = self._weigh(
+            workspace, part, now, gateways
+        )
         if not weighed.fits(cost):
             return self._find_wait(workspace, weighed, cost, part, now)
         self._add_own(workspace.name, cost, now)
@@ -121,11 +123,11 @@
     ) -> QuotaCheck:
         name = workspace.name
         limit = self.limit(workspace)
-        burst = find_burst(self._bounds, workspace)
-        self.earlier.suppose(workspace)
+        burst = compute_burst(self._bounds, workspace)
+        self.prior_usage.assume_unrecorded(workspace)
         recorded_at = self._recorded_at.get(name, -math.inf)
-        burst -= self.earlier.find_excess(workspace, recorded_at, now)
-        earlier = self.earlier.sum(name, now)
+        burst -= self.prior_usage.find_excess(workspace, recorded_at, now)
+        earlier = self.prior_usage.sum(name, now)
         unheard, repeated = self._expect_unheard(name, gateways * part, now)
         return QuotaCheck(
             used=self._sum(name, now),
@@ -158,7 +160,7 @@
             over / (workspace.rate * part),
             self._find_window(workspace.name).find_wait(more, now),
         )
-        return min(LONGEST_WAIT, max(SHORTEST_WAIT, wait))
+        return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
     def _expect_unheard(
         self, name: str, heard: float, now: float
@@ -172,11 +174,13 @@
         Returns:
             The units, and how many if the largest request here is left out.
         """
-        own, largest = sum_recent(self._own.get(name, ()), now - NEWS_SECONDS)
-        others = max(0.0, min(heard, FEW_GATEWAYS) - 1)
+        own, largest = sum_recent(
+            self._own.get(name, ()), now - PROPAGATION_SECONDS
+        )
+        others = max(0.0, min(heard, PUBLISH_SHARE_GATEWAYS) - 1)
         return max(0.0, own) * others, max(0.0, own - largest) * others
 
-    def must_tell(self, workspace: Workspace, gateways: int) -> bool:
+    def needs_publishing(self, workspace: Workspace, gateways: int) -> bool:
         """Tell whether the others should hear of a workspace's use now.
 
         Args:
@@ -187,24 +191,28 @@
         if workspace.rate <= 0:
             return False
         untold = self._untold.get(workspace.name, 0.0)
-        share = TELL_SHARE * min(1.0, FEW_GATEWAYS / max(1, gateways))
+        share = PUBLISH_SHARE * min(
+            1.0, PUBLISH_SHARE_GATEWAYS / max(1, gateways)
+        )
         return untold > share * self.limit(workspace)
 
-    def is_tight(self, workspaces: Iterable[Workspace], now: float) -> bool:
+    def is_near_limit(
+        self, workspaces: Iterable[Workspace], now: float
+    ) -> bool:
         """Tell whether a workspace may reach its limit by the next news."""
         return any(
-            self._sum(each.name, now) > TIGHT_SHARE * self.limit(each)
+            self._sum(each.name, now) > NEAR_LIMIT_SHARE * self.limit(each)
             for each in workspaces
             if each.rate > 0
         )
 
-    def note_told(self) -> None:
+    def mark_published(self) -> None:
         """Note that the others were told what was let through."""
         self._untold.clear()
 
     def limit(self, workspace: Workspace) -> float:
         """Return the units that may be let through within a window."""
-        return find_limit(self._bounds, workspace)
+        return compute_limit(self._bounds, workspace)
 
     # Bursts, and what is known of them after a start
 
@@ -237,7 +245,7 @@
             if each.name in changed
             and each.rate > 0
             and self._find_excess(each, part, now)
-            > share * part * find_burst(self._bounds, each)
+            > share * part * compute_burst(self._bounds, each)
         ]
 
     def make_record(
@@ -247,7 +255,7 @@
 
         With no ``gateways`` that are heard it is the own use alone.
         """
-        self._find_window(name).close_slot()
+        self._find_window(name).close_bucket()
         if not gateways:
             return [(now - at, n) for at, n in self._own.get(name, ())]
         unheard, _ = self._expect_unheard(name, gateways, now)
@@ -262,12 +270,12 @@
         """Take no use for recorded, as the store lost some rows."""
         self._recorded_at.clear()
 
-    def give_back(self, workspace: Workspace, cost: float, now: float) -> None:
+    def refund(self, workspace: Workspace, cost: float, now: float) -> None:
         """Return the units of a request that did not run."""
         if workspace.rate > 0 and cost:
             self._add_own(workspace.name, -cost, now)
 
-    def hear(
+    def update_from_peers(
         self,
         sender: str,
         used: Mapping[str, float],
@@ -296,11 +304,11 @@
             # One whose whole use is recent may have started like this one.
             if known or units <= recent.get(name, 0.0):
                 window = self._find_window(name)
-                window.add_since(units - before, since, now)
+                window.add_spread(units - before, since, now)
             else:
-                self.earlier.meet(name, units - before, now)
+                self.prior_usage.add_peer_usage(name, units - before, now)
 
-    def list_recent(self, now: float) -> dict[str, float]:
+    def list_own_usage(self, now: float) -> dict[str, float]:
         """Return the units that this gateway let through in the window."""
         recent = {}
         for name, own in self._own.items():
@@ -320,14 +328,16 @@
             workspaces: All of them, also those that nothing is known of.
         """
         for each in workspaces:
-            self.earlier.suppose(each)
+            self.prior_usage.assume_unrecorded(each)
         listed = {
             name: self._list_ages(name, now)
-            for name in {*self._windows, *self.earlier.list_names()}
+            for name in {*self._windows, *self.prior_usage.workspace_names()}
         }
         return {name: ages for name, ages in listed.items() if ages}
 
-    def hear_all(self, taken: UsageByAge, since: float, now: float) -> None:
+    def replace_with_summary(
+        self, taken: UsageByAge, since: float, now: float
+    ) -> None:
         """Take a hub's sums in place of all that was known of others.
 
         Args:
@@ -336,10 +346,10 @@
             now: Time in seconds.
         """
         # The hub's sums have what may have been before.
-        self.earlier.forget()
+        self.prior_usage.discard()
         for name in self._windows.keys() | taken.keys():
             rows = [
-                Use(now - age, units) for age, units in taken.get(name, ())
+                Charge(now - age, units) for age, units in taken.get(name, ())
             ]
             rows += [
                 each for each in self._own.get(name, ()) if each.at > since
@@ -348,15 +358,17 @@
 
     def _list_ages(self, name: str, now: float) -> list[tuple[float, float]]:
         later = self._find_window(name).list_ages(now)
-        return later + self.earlier.list_ages(name, now)
+        return later + self.prior_usage.list_ages(name, now)
 
     def _sum(self, name: str, now: float) -> float:
-        return self._find_window(name).sum(now) + self.earlier.sum(name, now)
+        return self._find_window(name).sum(now) + self.prior_usage.sum(
+            name, now
+        )
 
-    def _find_window(self, name: str) -> UseWindow:
+    def _find_window(self, name: str) -> SlidingWindow:
         window = self._windows.get(name)
         if window is None:
-            window = self._windows[name] = UseWindow(self._bounds.window)
+            window = self._windows[name] = SlidingWindow(self._bounds.window)
         return window
 
     def _add_own(self, name: str, units: float, now: float) -> None:
@@ -364,6 +376,6 @@
         self._changed.add(name)
         self.used[name] = self.used.get(name, 0.0) + units
         own = self._own.setdefault(name, deque())
-        own.append(Use(now, units))
+        own.append(Charge(now, units))
         while own[0].at <= now - self._bounds.window:
             own.popleft()
--- a/lagoonpost/systems/routing.py
+++ b/lagoonpost/systems/routing.py
@@ -24,8 +24,8 @@
 
 from lagoonpost.systems.affinity import (
     decay_work,
-    rank_unknown,
-    within_bound,
+    is_within_work_bound,
+    rank_by_hash,
 )
 from lagoonpost.systems.headroom import moved_limit, protected_limit
 from lagoonpost.systems.pool import Pool
@@ -33,8 +33,8 @@
 from lagoonpost.tables.request import RequestRow
 
 # Halving the counts keeps shares about the last requests, some 500 of them.
-COUNT_MOST = 1000
-MOST_RANKED = 3
+MAX_VERSION_COUNT = 1000
+MAX_RANKED_RUNNERS = 3
 
 
 # How many requests a runner with so many slots may have.
@@ -86,7 +86,9 @@
     return None
 
 
-def choose_alone(pool: Pool, request: RequestRow, now: float) -> Choice | None:
+def choose_isolated(
+    pool: Pool, request: RequestRow, now: float
+) -> Choice | None:
     """Choose a runner for a request that may run beside no other.
 
     A suspect of crashing runners is run alone, so that a crash convicts it
@@ -98,7 +100,7 @@
     """
     loads = sorted(pool.loads.values(), key=lambda load: load.runner.name)
     tried = pool.tried.get(request.id, set())
-    avoid, turn = pool.alone[request.id]
+    avoid, turn = pool.isolated[request.id]
     kept = [load for load in loads if load.exclusive == request.id]
     free = [load for load in loads if load.exclusive is None]
 
@@ -126,22 +128,22 @@
 def count_version(pool: Pool, version: str) -> None:
     """Count a new request for its version's share."""
     pool.sent += 1
-    pool.given[version] += 1
-    if pool.given.total() > COUNT_MOST:
-        for name in pool.given:
-            pool.given[name] //= 2
+    pool.sent_by_version[version] += 1
+    if pool.sent_by_version.total() > MAX_VERSION_COUNT:
+        for name in pool.sent_by_version:
+            pool.sent_by_version[name] //= 2
 
 
 def _order_versions(pool: Pool, moved: str | None) -> list[str]:
     total = sum(pool.shares.get(name, 0.0) for name in pool.versions)
     if total <= 0:
         return [] if pool.shares else list(pool.versions)
-    given = pool.given.total() + 1
+    given = pool.sent_by_version.total() + 1
     behind: dict[str, float] = {}
     for name in pool.versions:
         share = pool.shares.get(name, 0.0) / total
         if share > 0:
-            behind[name] = share * given - pool.given[name]
+            behind[name] = share * given - pool.sent_by_version[name]
     largest = max(behind, key=lambda name: pool.shares[name])
     order = sorted(behind, key=lambda name: -behind[name])
     allowed = [name for name in order if name == largest or behind[name] > 0]
@@ -186,7 +188,7 @@
     names = pool.prefixes.rank(request.prefix)
     reason = "prefix"
     if not names:
-        names = rank_unknown(request.prefix, loads)[:MOST_RANKED]
+        names = rank_by_hash(request.prefix, loads)[:MAX_RANKED_RUNNERS]
         reason = "prefix_hash"
     usable = {load.runner.name: load for load in loads}
     ranked = [usable[name] for name in names if name in usable]
@@ -195,7 +197,7 @@
     mean = sum(decay_work(load, now) for load in loads) / len(loads)
     for load in ranked:
         work = decay_work(load, now)
-        fits = within_bound(work, mean, pool.rates.mean_cost)
+        fits = is_within_work_bound(work, mean, pool.rates.mean_cost)
         if fits and _has_room(pool, load, limit):
             return Choice(load, reason, tuple(names))
     return None
--- a/lagoonpost/systems/scaling.py
+++ b/lagoonpost/systems/scaling.py
@@ -21,34 +21,34 @@
 from lagoonpost.tables.configuration import Scaling
 from lagoonpost.tables.endpoint import Endpoint
 
-BUSY_SHARE = 0.55
+MAX_BUSY_SHARE = 0.55
 """Part of the time in which runners should read prompts: beyond it a prompt
 waits behind others for longer than it takes itself."""
-BUSY_AFTER_LOSS = 0.8
+MAX_BUSY_SHARE_AFTER_LOSS = 0.8
 """The same after the loss of the largest domain, until others have started."""
-SPOT_BUSY_SHARE = 0.25
+MAX_SPOT_BUSY_SHARE = 0.25
 """The same for reclaimable runners. They cost a sixth to a quarter, and what
 runs beside a prompt that is read is three to ten times slower meanwhile."""
-LEAST_RUNNERS = 3
+MIN_RUNNERS = 3
 """Fewest runners of a service, so that one may be slow and one be lost."""
-LEAST_AFTER_LOSS = 2
+MIN_RUNNERS_AFTER_LOSS = 2
 """Fewest runners after the loss of any one domain."""
-DRY_SECONDS = 2.5
+SPOT_RETRY_SECONDS = 2.5
 """Pause before reclaimable runners are asked for again where there were
 none; each try is a priced call."""
 
 
-class Tenure(NamedTuple):
+class CapacityPool(NamedTuple):
     """Runners of one kind in one failure domain."""
 
     domain: str
     spot: bool
 
 
-class Order(NamedTuple):
+class RunnerOrder(NamedTuple):
     """The number of runners of one kind that there should be."""
 
-    tenure: Tenure
+    capacity_pool: CapacityPool
     runners: int
 
 
@@ -64,12 +64,12 @@
     base: int = 1
 
 
-def count_runners(endpoints: Sequence[Endpoint]) -> dict[Tenure, int]:
+def count_runners(endpoints: Sequence[Endpoint]) -> dict[CapacityPool, int]:
     """Return how many runners stay, by kind and failure domain."""
-    counts: dict[Tenure, int] = {}
+    counts: dict[CapacityPool, int] = {}
     for each in endpoints:
         if not each.leaving:
-            tenure = Tenure(each.failure_domain, each.spot)
+            tenure = CapacityPool(each.failure_domain, each.spot)
             counts[tenure] = counts.get(tenure, 0) + 1
     return counts
 
@@ -77,10 +77,10 @@
 def plan_orders(
     scaling: Scaling,
     demand: Demand,
-    there: Mapping[Tenure, int],
-    ask_again: Mapping[str, float],
+    current: Mapping[CapacityPool, int],
+    retry_at: Mapping[str, float],
     now: float,
-) -> list[Order]:
+) -> list[RunnerOrder]:
     """Return the number of each kind of runner that there should be.
 
     Args:
@@ -98,12 +98,15 @@
     domains = sorted(scaling.prices, key=lambda each: scaling.prices[each])
     if not domains:
         return []
-    wet = [each for each in domains if each not in ask_again]
+    wet = [each for each in domains if each not in retry_at]
     full = dict.fromkeys(domains, 0)
     spots = dict.fromkeys(domains, 0)
-    least = max(LEAST_RUNNERS, math.ceil(demand.busy / BUSY_SHARE))
-    total = max(least, math.ceil(demand.busy / SPOT_BUSY_SHARE))
-    rest = max(LEAST_AFTER_LOSS, math.ceil(demand.busy / BUSY_AFTER_LOSS))
+    least = max(MIN_RUNNERS, math.ceil(demand.busy / MAX_BUSY_SHARE))
+    total = max(least, math.ceil(demand.busy / MAX_SPOT_BUSY_SHARE))
+    rest = max(
+        MIN_RUNNERS_AFTER_LOSS,
+        math.ceil(demand.busy / MAX_BUSY_SHARE_AFTER_LOSS),
+    )
     _fill(full, domains, demand.base, scaling.max_runners, spots)
     if 0 < scaling.spot_price < 1:
         _spread(spots, domains, total - demand.base, scaling.max_runners, full)
@@ -111,14 +114,14 @@
         while _count_after_loss(full, spots) < rest:
             if not _spread(spots, domains, 1, scaling.max_runners, full):
                 break
-    present = _find_spots(there)
-    if ask_again:
+    present = _find_spots(current)
+    if retry_at:
         # What is given back in a drought can't be had again.
         for each in domains:
             spots[each] = max(spots[each], present.get(each, 0))
     kept = sum(present.get(each, 0) for each in domains)
     missing = least - demand.base - kept
-    if ask_again:
+    if retry_at:
         # Reclaims come in waves: while one domain has none to be had, the
         # next may go, and what replaces it takes a start-up.
         largest = max(present.values(), default=0)
@@ -126,7 +129,9 @@
     if missing > 0:
         # At full price what is not there reclaimable, until it has come:
         # first those that run already, as a new one takes seconds to start.
-        running = {each: there.get(Tenure(each, False), 0) for each in domains}
+        running = {
+            each: current.get(CapacityPool(each, False), 0) for each in domains
+        }
         for domain in domains:
             added = min(missing, max(0, running[domain] - full[domain]))
             full[domain] += added
@@ -137,16 +142,16 @@
         }
         _fill(full, domains, missing, scaling.max_runners, coming)
     orders = [
-        Order(Tenure(each, True), spots[each])
+        RunnerOrder(CapacityPool(each, True), spots[each])
         for each in domains
-        if spots[each] and now >= ask_again.get(each, now)
+        if spots[each] and now >= retry_at.get(each, now)
     ]
     return orders + [
-        Order(Tenure(each, False), full[each]) for each in domains
+        RunnerOrder(CapacityPool(each, False), full[each]) for each in domains
     ]
 
 
-def _find_spots(there: Mapping[Tenure, int]) -> dict[str, int]:
+def _find_spots(there: Mapping[CapacityPool, int]) -> dict[str, int]:
     return {
         tenure.domain: count for tenure, count in there.items() if tenure.spot
     }
--- a/lagoonpost/systems/home.py
+++ b/lagoonpost/systems/session_affinity.py
@@ -15,10 +15,10 @@
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.metadata import PromptPart
 
-LEAST_COPIED = 1500
+MIN_COPIED_TOKENS = 1500
 """Shared tokens from which a copy is asked for: it takes some ten milliseconds
 however few they are, in which a runner reads some hundreds."""
-MOST_ORDERS = 400
+MAX_RANKINGS = 400
 """Sessions whose order of runners is kept; 64 runners take 1 KB each."""
 
 
@@ -27,7 +27,7 @@
     order: list[Endpoint]
 
 
-class HomeOrders:
+class RankingCache:
     """Keeps the orders in which sessions prefer runners.
 
     Ranking 60 runners by their hashes takes as long as all else that is
@@ -46,15 +46,15 @@
         key = parts[-2].id
         ranked = self._ranked.get(key)
         if ranked is None or ranked.candidates != endpoints:
-            order = rank_homes(endpoints, parts)
+            order = rank_by_session(endpoints, parts)
             ranked = self._ranked[key] = _Ranked(endpoints, order)
         self._ranked.move_to_end(key)
-        if len(self._ranked) > MOST_ORDERS:
+        if len(self._ranked) > MAX_RANKINGS:
             self._ranked.popitem(last=False)
         return ranked.order
 
 
-def rank_homes(
+def rank_by_session(
     endpoints: Sequence[Endpoint], parts: Sequence[PromptPart]
 ) -> list[Endpoint]:
     """Return the runners in the order in which a session prefers them.
@@ -71,7 +71,7 @@
     return sorted(endpoints, key=lambda each: -_hash(key, each.id))
 
 
-def find_holder(
+def find_copy_source(
     order: Iterable[Endpoint], target: Endpoint, parts: Sequence[PromptPart]
 ) -> Endpoint | None:
     """Return the runner from which a prompt's shared parts may be copied.
@@ -86,7 +86,7 @@
         parts: Parts of the prompt; none if there is no prompt.
     """
     shared = sum(part.tokens for part in parts[:-1])
-    if shared < LEAST_COPIED:
+    if shared < MIN_COPIED_TOKENS:
         return None
     return next(
         (
--- a/lagoonpost/systems/use_window.py
+++ b/lagoonpost/systems/sliding_window.py
@@ -5,22 +5,22 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-BUCKETS = 8
+PUBLISHED_BUCKETS = 8
 """Parts of a window in which use is told to others: what leaves the window
 does so an eighth of it early or late at most."""
-SLOTS = 64
+LOCAL_BUCKETS = 64
 """Parts of a window in which use is added up here: a look at all of them for
 each request has to be short."""
 
 
-class Use(NamedTuple):
+class Charge(NamedTuple):
     """Units that were let through, and when."""
 
     at: float
     units: float
 
 
-class UseWindow:
+class SlidingWindow:
     """The use within a sliding window.
 
     Attributes:
@@ -29,41 +29,42 @@
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self._rows: deque[Use] = deque()
+        self._rows: deque[Charge] = deque()
         self._sum = 0.0
         self._slot_from = -math.inf
 
     def add(self, units: float, now: float) -> None:
         """Add what was let through now."""
         self._sum += units
-        if self._rows and now - self._slot_from < self.seconds / SLOTS:
-            self._rows[-1] = Use(now, self._rows[-1].units + units)
+        if self._rows and now - self._slot_from < self.seconds / LOCAL_BUCKETS:
+            self._rows[-1] = Charge(now, self._rows[-1].units + units)
             return
         self._slot_from = now
-        self._rows.append(Use(now, units))
+        self._rows.append(Charge(now, units))
 
-    def add_since(self, units: float, since: float, now: float) -> None:
+    def add_spread(self, units: float, since: float, now: float) -> None:
         """Add what was let through at times that are not known."""
-        pause = self.seconds / BUCKETS
-        parts = max(1, min(BUCKETS, int((now - since) / pause)))
+        pause = self.seconds / PUBLISHED_BUCKETS
+        parts = max(1, min(PUBLISHED_BUCKETS, int((now - since) / pause)))
         if parts == 1:
             self.add(units, now)
             return
         self.insert(
-            Use(now - place * pause, units / parts) for place in range(parts)
+            Charge(now - place * pause, units / parts)
+            for place in range(parts)
         )
 
-    def insert(self, rows: Iterable[Use]) -> None:
+    def insert(self, rows: Iterable[Charge]) -> None:
         """Add what was let through at earlier times."""
         self.replace([*self._rows, *rows])
 
-    def replace(self, rows: Iterable[Use]) -> None:
+    def replace(self, rows: Iterable[Charge]) -> None:
         """Take this use in place of all that is known."""
         self._rows = deque(sorted(rows))
         self._sum = sum(each.units for each in self._rows)
-        self.close_slot()
+        self.close_bucket()
 
-    def close_slot(self) -> None:
+    def close_bucket(self) -> None:
         """Tell what comes next from all that was added before."""
         self._slot_from = -math.inf
 
@@ -104,7 +105,7 @@
         """Return pairs of the use's age in seconds and its units."""
         if not self.sum(now):
             return []
-        pause = self.seconds / BUCKETS
+        pause = self.seconds / PUBLISHED_BUCKETS
         buckets: dict[int, float] = {}
         for at, units in self._rows:
             place = max(0, int((now - at) / pause))
@@ -115,7 +116,7 @@
         ]
 
 
-def sum_recent(rows: Sequence[Use], since: float) -> tuple[float, float]:
+def sum_recent(rows: Sequence[Charge], since: float) -> tuple[float, float]:
     """Return the units since a time, and the most of one request.
 
     Args:
--- a/lagoonpost/systems/usage.py
+++ b/lagoonpost/systems/usage.py
@@ -9,7 +9,9 @@
 that is late or lost does not leave a count out."""
 
 
-def sum_begun(reports: Iterable[GatewayReport], window: int) -> dict[str, int]:
+def sum_begun_requests(
+    reports: Iterable[GatewayReport], window: int
+) -> dict[str, int]:
     """Return the begun requests by workspace, over all runs of gateways."""
     total: dict[str, int] = {}
     for report in reports:
@@ -18,7 +20,7 @@
     return total
 
 
-def find_due(
+def find_due_windows(
     now: float, seconds: float, late: float, done: Iterable[int]
 ) -> list[int]:
     """Return the windows to be reported now, oldest first.
--- a/lagoonpost/systems/view.py
+++ b/lagoonpost/systems/view.py
@@ -39,15 +39,15 @@
         self._fact_news: dict[str, str] = {}
         self._learned_members: list[Member] = []
         self._learned_facts: list[Fact] = []
-        self.adopt_member(me, me.name, now)
+        self.merge_member(me, me.name, now)
 
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Return whether there are rows to push."""
         return bool(self._member_news or self._fact_news)
 
-    def take_news(self) -> "News":
+    def take_updates(self) -> "PendingUpdates":
         """Return the rows to push, once."""
-        news = News(self._member_news, self._fact_news)
+        news = PendingUpdates(self._member_news, self._fact_news)
         self._member_news = {}
         self._fact_news = {}
         return news
@@ -62,14 +62,16 @@
         self._learned_facts.clear()
         return learned
 
-    def adopt(self, rows: Packet | Reply, source: str, now: float) -> None:
+    def merge_rows(
+        self, rows: Packet | Reply, source: str, now: float
+    ) -> None:
         """Take in all rows of a message that came from ``source``."""
         for member in rows.members:
-            self.adopt_member(member, source, now)
+            self.merge_member(member, source, now)
         for fact in rows.facts:
-            self.adopt_fact(fact, source, now)
+            self.merge_fact(fact, source, now)
 
-    def adopt_fact(self, fact: Fact, source: str, now: float) -> None:
+    def merge_fact(self, fact: Fact, source: str, now: float) -> None:
         """Take in a fact that came from ``source``."""
         changed = self.facts.merge(fact, now)
         if changed is None:
@@ -78,7 +80,7 @@
         if self._passes_on(source):
             self._fact_news[changed.id] = source
 
-    def adopt_member(self, row: Member, source: str, now: float) -> None:
+    def merge_member(self, row: Member, source: str, now: float) -> None:
         """Take in a member's row that came from ``source``."""
         if row.name == self.me.name and source != self.me.name:
             corrected = refute(self.me, row, now)
@@ -134,11 +136,11 @@
 
     def call(self, name: str, purpose: Purpose, now: float) -> Call:
         """Return a call to a known member."""
-        return self.call_place(
+        return self.call_address(
             name, self.members.rows[name].address, purpose, now
         )
 
-    def call_place(
+    def call_address(
         self, name: str, address: str, purpose: Purpose, now: float
     ) -> Call:
         """Return a call to an address; ``name`` is empty for a seed."""
@@ -157,7 +159,7 @@
         return Call(name, address, packet, purpose, now)
 
 
-class News:
+class PendingUpdates:
     """Rows to push, each with the member it came from."""
 
     def __init__(self, members: dict[str, str], facts: dict[str, str]) -> None:
--- a/test/peer_network.py
+++ b/test/peer_network.py
@@ -130,7 +130,7 @@
                 self._note(name, action)
             else:
                 reply = action
-        if node.view.has_news() and name not in self._flushing:
+        if node.view.has_updates() and name not in self._flushing:
             self._flushing.add(name)
             self._at(FLUSH, lambda: self._flush(name))
         return reply
@@ -231,8 +231,8 @@
     rows = [node.view.me for node in network.nodes.values()]
     for node in network.nodes.values():
         for row in rows:
-            node.view.adopt_member(row, node.view.me.name, network.now)
-        node.view.take_news()
+            node.view.merge_member(row, node.view.me.name, network.now)
+        node.view.take_updates()
         node.view.take_learned()
 
 
--- a/test/test_affinity.py
+++ b/test/test_affinity.py
@@ -6,7 +6,7 @@
 
 from bench.baseline import BASELINES, Baseline
 from bench.cases import play_prefixes
-from lagoonpost.systems.affinity import HOLDERS, PrefixTable
+from lagoonpost.systems.affinity import MAX_HOLDERS, PrefixTable
 
 
 class TestSharedPrefixes:
@@ -44,7 +44,7 @@
         for runner, prefix in stored:
             table.store(runner, prefix)
             assert table.rank(tuple(prefix))[0] == runner
-        assert all(len(n) <= HOLDERS for n in table.holders.values())
+        assert all(len(n) <= MAX_HOLDERS for n in table.holders.values())
 
     @given(blocks, blocks)
     def test_dropped_blocks_are_not_held(self, stored, dropped):
--- a/test/test_bursts.py
+++ b/test/test_bursts.py
@@ -223,8 +223,10 @@
             assert before.told == []
             other = Gateway(store, name="two", hubs=("two", "one"))
             now = read_clock()
-            recent = before.quotas.list_recent(now)
-            other.quotas.hear("one/1", before.quotas.used, recent, now)
+            recent = before.quotas.list_own_usage(now)
+            other.quotas.update_from_peers(
+                "one/1", before.quotas.used, recent, now
+            )
             for _ in range(2):
                 passed += other.use(1e9)
                 await other.run()
--- a/test/test_demand.py
+++ b/test/test_demand.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from lagoonpost.systems.demand import DemandMeter, Sample, expect_busy
+from lagoonpost.systems.demand import (
+    DemandMeter,
+    Sample,
+    estimate_initial_busy,
+)
 from lagoonpost.tables.configuration import Workspace
 
 PACE = 1 / 30_000
@@ -18,7 +22,7 @@
 
 class TestDemandMeter:
     def test_the_rate_in_runners(self):
-        meter = DemandMeter(known=True)
+        meter = DemandMeter(starts_idle=True)
         play(meter, 20, 45_000)
         assert meter.busy() == pytest.approx(1.5, rel=0.01)
 
@@ -28,19 +32,19 @@
         By the rate alone nothing has changed, while each caller of that
         runner waits for seconds.
         """
-        meter = DemandMeter(known=True)
+        meter = DemandMeter(starts_idle=True)
         at, total = play(meter, 10, 30_000)
         play(meter, 4, 30_000, waiting=90_000, start=at, total=total)
         assert meter.busy() > 3
 
     def test_one_long_prompt_is_no_burst(self):
-        meter = DemandMeter(known=True)
+        meter = DemandMeter(starts_idle=True)
         at, total = play(meter, 10, 20_000, waiting=2_000)
         meter.note(Sample(at, total, 42_000, PACE))
         assert meter.busy() < 1.5
 
     def test_it_falls_slowly(self):
-        meter = DemandMeter(known=True)
+        meter = DemandMeter(starts_idle=True)
         at, total = play(meter, 10, 60_000)
         at, total = play(meter, 10, 0, start=at, total=total)
         assert meter.busy() > 0.8
@@ -48,14 +52,14 @@
         assert meter.busy() < 0.1
 
     def test_nothing_is_known_in_the_first_seconds_after_a_restart(self):
-        meter = DemandMeter(known=False)
+        meter = DemandMeter(starts_idle=False)
         at, total = play(meter, 4, 30_000)
         assert meter.busy() is None
         play(meter, 4, 30_000, start=at, total=total)
         assert meter.busy() == pytest.approx(1.0, rel=0.05)
 
     def test_a_counter_that_begins_anew_is_no_negative_load(self):
-        meter = DemandMeter(known=True)
+        meter = DemandMeter(starts_idle=True)
         meter.note(Sample(0.0, 1e6, 0, PACE))
         meter.note(Sample(5.0, 0.0, 0, PACE))
         assert meter.busy() == 0
@@ -72,7 +76,7 @@
         are missing for a start-up when everyone comes.
         """
         pace = 1 / 30_000
-        expected = expect_busy([self.LARGE, self.COUNTED], pace)
+        expected = estimate_initial_busy([self.LARGE, self.COUNTED], pace)
         assert expected == pytest.approx(200_000 * pace)
         meter = DemandMeter(True, expected)
         for tick in range(40):
--- a/test/test_entry.py
+++ b/test/test_entry.py
@@ -5,7 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonpost.systems.entry import BOUND, LEAST, assign_entries
+from lagoonpost.systems.entry import (
+    MAX_WEIGHT_RATIO,
+    MIN_ENTRIES,
+    assign_entries,
+)
 
 
 class Gateway(NamedTuple):
@@ -30,14 +34,16 @@
     def test_each_workspace_has_few_distinct_gateways(self, count, wanted):
         for entries in assign_entries(make_gateways(count), wanted).values():
             assert len(set(entries)) == len(entries)
-            assert len(entries) >= min(LEAST, count)
+            assert len(entries) >= min(MIN_ENTRIES, count)
 
     @given(st.integers(0, 50))
     def test_first_entries_lie_in_different_domains(self, number):
         """A workspace is cut off although only one domain was lost."""
         entries = assign_entries(make_gateways(9), {f"w{number}": 1.0})
-        domains = {e.failure_domain for e in entries[f"w{number}"][:LEAST]}
-        assert len(domains) == LEAST
+        domains = {
+            e.failure_domain for e in entries[f"w{number}"][:MIN_ENTRIES]
+        }
+        assert len(domains) == MIN_ENTRIES
 
     def test_large_workspaces_do_not_overload_a_gateway(self):
         """Callers wait at one gateway while the others are idle.
@@ -55,7 +61,7 @@
         mean = sum(given.values()) / len(given)
         # A list that has run out of domains may go over the bound by one
         # small workspace's part.
-        assert max(given.values()) <= BOUND * mean + 1 / LEAST
+        assert max(given.values()) <= MAX_WEIGHT_RATIO * mean + 1 / MIN_ENTRIES
 
     @given(st.integers(0, 39))
     def test_a_lost_gateway_changes_few_lists(self, lost):
--- a/test/test_margins_news.py
+++ b/test/test_margins_news.py
@@ -14,7 +14,7 @@
 from lagoonpost.margins.margin import Margin
 from lagoonpost.margins.news import find_late_offer, find_older, find_spread
 from lagoonpost.margins.quota import find_use, promise
-from lagoonpost.systems.quota_limit import find_limit
+from lagoonpost.systems.quota_limit import compute_limit
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.quota import QuotaBounds
 
@@ -180,7 +180,7 @@
         """It is the reverse of what gateways keep to."""
         workspace = Workspace("w", (), rate=1000.0, burst=500.0)
         bounds = QuotaBounds(8.0, 0.1, 140.0)
-        limit = find_limit(bounds, workspace)
+        limit = compute_limit(bounds, workspace)
         assert promise(limit, 0.1, 140.0) == pytest.approx(8500 * 1.1 + 140)
 
     def test_a_gateway_that_hears_few_lowers_no_promise(self):
--- a/test/test_placement.py
+++ b/test/test_placement.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from lagoonpost.http.message import Address
-from lagoonpost.systems.home import (
-    MOST_ORDERS,
-    HomeOrders,
-    find_holder,
-    rank_homes,
+from lagoonpost.systems.placement import Placement, PlacementRequest
+from lagoonpost.systems.session_affinity import (
+    MAX_RANKINGS,
+    RankingCache,
+    find_copy_source,
+    rank_by_session,
 )
-from lagoonpost.systems.placement import Placement, Wanted
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.gateway_report import RunnerWork
 from lagoonpost.tables.metadata import PromptPart
@@ -34,16 +34,16 @@
     ]
 
 
-def make_draft(session: str, own: int = 2900) -> Wanted:
+def make_draft(session: str, own: int = 2900) -> PlacementRequest:
     parts = (
         PromptPart("shared", 2500),
         PromptPart(session, 3800),
         PromptPart("own", own),
     )
-    return Wanted("chat", sum(p.tokens for p in parts), parts, True)
+    return PlacementRequest("chat", sum(p.tokens for p in parts), parts, True)
 
 
-CHECK = Wanted("desk", 0, (), False)
+CHECK = PlacementRequest("desk", 0, (), False)
 PACE = 1 / 38_000
 
 
@@ -55,7 +55,7 @@
         self.free_at = 0.0
         self.held: set[str] = set()
 
-    def take(self, wanted: Wanted, now: float) -> tuple[float, int]:
+    def take(self, wanted: PlacementRequest, now: float) -> tuple[float, int]:
         unread = 0
         for part in wanted.parts:
             if part.id not in self.held:
@@ -97,7 +97,7 @@
                                 held.requests + work.requests,
                                 held.tokens + work.tokens,
                             )
-                placement.hear(total)
+                placement.update_from_peers(total)
         wanted = make_draft(f"s{rng.randrange(98)}")
         placement = rng.choice(placements)
         choice = placement.choose(endpoints, wanted, now, rng)
@@ -142,7 +142,7 @@
     def test_others_work_counts(self):
         placement = Placement()
         runners = make_runners(2, "desk")
-        placement.hear({"desk-0": RunnerWork(20, 0)})
+        placement.update_from_peers({"desk-0": RunnerWork(20, 0)})
         choice = placement.choose(runners, CHECK, 0.0, Random(1))
         assert choice is not None
         assert choice.endpoint.id == "desk-1"
@@ -191,17 +191,19 @@
     def test_the_pace_of_a_prompt_alone_is_learned(self):
         placement = Placement()
         runners = make_runners(1)
-        assert "chat" not in placement.paces_alone
+        assert "chat" not in placement.unloaded_paces
         for step in range(40):
             wanted = make_draft(f"s{step}")
             now = float(step)
             choice = placement.choose(runners, wanted, now, Random(1))
             assert choice is not None
             placement.note_sent(choice, wanted, now)
-            took = choice.unread / 10_000
+            took = choice.uncached_tokens / 10_000
             placement.note_first_byte(choice, wanted, took, now + took)
             placement.note_ended(choice, True)
-        assert placement.paces_alone["chat"] == pytest.approx(1e-4, rel=0.05)
+        assert placement.unloaded_paces["chat"] == pytest.approx(
+            1e-4, rel=0.05
+        )
 
     def test_waits_behind_others_are_not_taken_for_a_slow_runner(self):
         """Half of the prompts that seem alone wait behind others.
@@ -217,10 +219,10 @@
             choice = placement.choose(runners, wanted, now, Random(1))
             assert choice is not None
             placement.note_sent(choice, wanted, now)
-            took = choice.unread / 30_000 + (step % 2) * 0.5
+            took = choice.uncached_tokens / 30_000 + (step % 2) * 0.5
             placement.note_first_byte(choice, wanted, took, now + took)
             placement.note_ended(choice, True)
-        assert placement.paces_alone["chat"] < 1.4 / 30_000
+        assert placement.unloaded_paces["chat"] < 1.4 / 30_000
 
     def test_states_of_missing_runners_are_dropped(self):
         placement = Placement()
@@ -230,7 +232,7 @@
 
 
 def find_home(runners, parts) -> str:
-    order = rank_homes(runners, parts)
+    order = rank_by_session(runners, parts)
     return order[0].id if order else ""
 
 
@@ -251,14 +253,16 @@
     @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 9))))
     def test_what_is_kept_is_what_would_be_ranked(self, steps):
         """A session goes on to a runner that has gone or come since."""
-        orders = HomeOrders()
+        orders = RankingCache()
         for count, session in steps:
             runners = tuple(make_runners(count))
             parts = make_draft(f"s{session}").parts
-            assert orders.rank(runners, parts) == rank_homes(runners, parts)
+            assert orders.rank(runners, parts) == rank_by_session(
+                runners, parts
+            )
 
     def test_a_runner_that_leaves_is_seen(self):
-        orders = HomeOrders()
+        orders = RankingCache()
         runners = tuple(make_runners(3))
         parts = make_draft("s1").parts
         orders.rank(runners, parts)
@@ -266,11 +270,11 @@
         assert any(each.leaving for each in orders.rank(leaving, parts))
 
     def test_orders_of_many_sessions_are_not_all_kept(self):
-        orders = HomeOrders()
-        for session in range(2 * MOST_ORDERS):
+        orders = RankingCache()
+        for session in range(2 * MAX_RANKINGS):
             parts = make_draft(f"s{session}").parts
             orders.rank(tuple(make_runners(2)), parts)
-        assert len(orders._ranked) == MOST_ORDERS
+        assert len(orders._ranked) == MAX_RANKINGS
 
 
 class TestFindHolder:
@@ -283,9 +287,9 @@
         runners = make_runners(4)
         for number in range(50):
             draft = make_draft(f"s{number}")
-            before = rank_homes(runners[:3], draft.parts)[0]
-            order = rank_homes(runners, draft.parts)
-            holder = find_holder(order, order[0], draft.parts)
+            before = rank_by_session(runners[:3], draft.parts)[0]
+            order = rank_by_session(runners, draft.parts)
+            holder = find_copy_source(order, order[0], draft.parts)
             assert before in (order[0], holder)
 
     def test_a_leaving_home_gives_what_it_holds(self):
@@ -296,8 +300,8 @@
         staying = [each for each in runners if each.id != home]
         leaving = [each for each in runners if each.id == home]
         choice = placement.choose(staying, draft, 0.0, Random(1), leaving)
-        assert choice is not None and choice.holder is not None
-        assert choice.holder.id == home
+        assert choice is not None and choice.copy_source is not None
+        assert choice.copy_source.id == home
 
     def test_a_runner_that_can_not_be_reached_gives_nothing(self):
         runners = make_runners(3)
@@ -307,18 +311,18 @@
             placement.state(runner.id).note_unreachable(0.0)
         choice = placement.choose(runners, draft, 0.1, Random(1))
         assert choice is not None
-        assert choice.holder is None
+        assert choice.copy_source is None
 
     def test_little_is_read_and_not_copied(self):
         small = make_draft("s1")._replace(
             parts=(PromptPart("a", 300), PromptPart("b", 9))
         )
         runners = make_runners(2)
-        assert find_holder(runners, runners[0], small.parts) is None
+        assert find_copy_source(runners, runners[0], small.parts) is None
 
     def test_memory_of_another_version_is_not_copied(self):
         target, other = make_runners(2)
         new = other._replace(version="v2")
         draft = make_draft("s1")
-        assert find_holder([target, other], target, draft.parts) == other
-        assert find_holder([target, new], target, draft.parts) is None
+        assert find_copy_source([target, other], target, draft.parts) == other
+        assert find_copy_source([target, new], target, draft.parts) is None
--- a/test/test_queueing.py
+++ b/test/test_queueing.py
@@ -6,7 +6,7 @@
 from lagoonpost.systems.queueing import (
     CLASSES,
     FairQueue,
-    Waiting,
+    QueuedRequest,
     order_classes,
 )
 from lagoonpost.tables.request import RequestRow
@@ -21,10 +21,10 @@
 def push(queue: FairQueue, name: str, workspace: str, cost: float) -> None:
     request = make_request(name, workspace)
     start = queue.next_start(workspace)
-    queue.push(Waiting(request, cost, start, 9.0, 0.0, 0.0))
+    queue.push(QueuedRequest(request, cost, start, 9.0, 0.0, 0.0))
 
 
-def serve(queue: FairQueue) -> Waiting:
+def serve(queue: FairQueue) -> QueuedRequest:
     entry = queue.head()
     assert entry is not None
     queue.remove(entry.request.id)
--- a/test/test_quota.py
+++ b/test/test_quota.py
@@ -45,17 +45,17 @@
         if quota.take(workspace, cost, 1.0, now, gateways) is None:
             passed.append((now, cost))
         for other, quota in enumerate(quotas):
-            wait = 0.1 if quota.must_tell(workspace, gateways) else 0.4
+            wait = 0.1 if quota.needs_publishing(workspace, gateways) else 0.4
             if now - told[other] < wait:
                 continue
             told[other] = now
-            quota.note_told()
+            quota.mark_published()
             for receiver in quotas:
                 if receiver is not quota:
-                    receiver.hear(
+                    receiver.update_from_peers(
                         str(other),
                         dict(quota.used),
-                        quota.list_recent(now),
+                        quota.list_own_usage(now),
                         now,
                     )
     return passed
@@ -126,9 +126,9 @@
         quota.take(LARGE, 1000.0, 1.0, 0.1, gateways=9)
         limit, burst = quota.limit(LARGE), 70_000 + 0.3 * 145_000
         used = 1000.0
-        assert quota.weighed == (used, 8000.0, 0.0, limit, 0.0, burst)
+        assert quota.decision_inputs == (used, 8000.0, 0.0, limit, 0.0, burst)
         quota.take(LARGE._replace(rate=0.0), 1000.0, 1.0, 0.2)
-        assert quota.weighed is None
+        assert quota.decision_inputs is None
 
     def test_what_did_not_run_is_given_back(self):
         quota = Quotas(QuotaBounds(window=8.0, overage=0.0, slack=0.0))
@@ -137,7 +137,7 @@
             quota.take(small, 1.0, 1.0, 0.0)
             quota.note_recorded("small", 0.0)
         assert quota.take(small, 1.0, 1.0, 0.15) is not None
-        quota.give_back(small, 1.0, 0.15)
+        quota.refund(small, 1.0, 0.15)
         assert quota.take(small, 1.0, 1.0, 0.2) is None
         assert quota.used["small"] == 8.0
 
@@ -169,9 +169,11 @@
         the window; counted as that, it would refuse everything for it.
         """
         quota = Quotas(BOUNDS, started=0.0)
-        quota.hear("old", {"large": 1e9}, {"large": 1e4}, 0.5)
+        quota.update_from_peers("old", {"large": 1e9}, {"large": 1e4}, 0.5)
         assert quota.take(LARGE, 9000.0, 1.0, 1.0) is None
-        quota.hear("old", {"large": 1e9 + 1e7}, {"large": 1e7}, 1.5)
+        quota.update_from_peers(
+            "old", {"large": 1e9 + 1e7}, {"large": 1e7}, 1.5
+        )
         assert quota.take(LARGE, 9000.0, 1.0, 2.0) is not None
 
     def test_what_a_late_acquaintance_let_through_counts(self):
@@ -182,7 +184,7 @@
         """
         quota = Quotas(BOUNDS, started=0.0)
         used = {"large": 0.98 * quota.limit(LARGE)}
-        quota.hear("old", used, used, 8.5)
+        quota.update_from_peers("old", used, used, 8.5)
         assert quota.take(LARGE, 9000.0, 1.0, 9.0) is not None
 
     def test_a_burst_that_is_not_recorded_is_bounded(self):
@@ -225,22 +227,22 @@
             if quotas[number].take(HUGE, cost, 1.0, now, gateways) is None:
                 passed.append((now, cost))
             for other, quota in enumerate(quotas[1:], 1):
-                pause = 0.1 if quota.must_tell(HUGE, gateways) else 0.4
+                pause = 0.1 if quota.needs_publishing(HUGE, gateways) else 0.4
                 if now >= told[other] + pause:
                     told[other] = now
-                    quota.note_told()
-                    hub.hear(
+                    quota.mark_published()
+                    hub.update_from_peers(
                         str(other),
                         dict(quota.used),
-                        quota.list_recent(now),
+                        quota.list_own_usage(now),
                         now,
                     )
-            pause = 0.1 if hub.is_tight([HUGE], now) else 0.4
+            pause = 0.1 if hub.is_near_limit([HUGE], now) else 0.4
             if now >= summed + pause:
                 summed = now
                 taken = hub.list_taken(now)
                 for other, quota in enumerate(quotas[1:], 1):
-                    quota.hear_all(taken, told[other], now)
+                    quota.replace_with_summary(taken, told[other], now)
         window = BOUNDS.window
         return max(
             sum(cost for at, cost in passed if start <= at < start + window)
@@ -269,7 +271,7 @@
         quota = Quotas(BOUNDS)
         quota.take(HUGE, 1000.0, 1.0, 1.0)
         quota.take(HUGE, 500.0, 1.0, 2.0)
-        quota.hear_all({"huge": [(3.5, 5000.0)]}, 1.5, 5.0)
+        quota.replace_with_summary({"huge": [(3.5, 5000.0)]}, 1.5, 5.0)
         assert quota.list_taken(5.0) == {
             "huge": [(3.5, 5500.0)],
         }
--- a/test/test_quota_faults.py
+++ b/test/test_quota_faults.py
@@ -61,7 +61,7 @@
             self.runs[each] += 1
             self.writing.pop(each, None)
             if self.has_store:
-                self.quotas[each].earlier.take_records(
+                self.quotas[each].prior_usage.load_records(
                     self._read(self.up_from[each]), self.up_from[each]
                 )
 
@@ -94,17 +94,19 @@
 
     def tell(self, now: float) -> None:
         for one, quota in enumerate(self.quotas):
-            soon = quota.must_tell(HOT, GATEWAYS)
+            soon = quota.needs_publishing(HOT, GATEWAYS)
             pause = SOON_SECONDS if soon else REPORT_SECONDS
             if not self.is_up(one, now) or now - self.told[one] < pause:
                 continue
             self.told[one] = now
-            quota.note_told()
+            quota.mark_published()
             sender = f"{one}/{self.runs[one]}"
-            recent = quota.list_recent(now)
+            recent = quota.list_own_usage(now)
             for other, receiver in enumerate(self.quotas):
                 if one != other and self.is_up(other, now):
-                    receiver.hear(sender, dict(quota.used), recent, now)
+                    receiver.update_from_peers(
+                        sender, dict(quota.used), recent, now
+                    )
 
 
 def play(
@@ -191,7 +193,7 @@
     def test_a_gateway_that_starts_and_hears_nobody_yet_has_its_part(self):
         """Guards against counting what all may have used against one part."""
         quota = Quotas(BOUNDS, started=0.0)
-        quota.earlier.take_records({"hot": [(1.0, QUOTA / 2)]}, 0.0)
+        quota.prior_usage.load_records({"hot": [(1.0, QUOTA / 2)]}, 0.0)
         costs = [2_000.0, 1_000.0]
         taken = [quota.take(HOT, cost, 1 / 9, 0.1, 9) for cost in costs]
         assert taken == [None, None]
@@ -199,10 +201,10 @@
     def test_what_others_tell_is_not_added_to_what_was_recorded(self):
         """Guards against use that counts twice after a planned restart."""
         quota = Quotas(BOUNDS, started=8.0)
-        quota.earlier.take_records({"hot": [(1.0, 0.55 * QUOTA)]}, 8.0)
+        quota.prior_usage.load_records({"hot": [(1.0, 0.55 * QUOTA)]}, 8.0)
         for each in range(GATEWAYS - 1):
             recent = {"hot": 0.55 * QUOTA / GATEWAYS}
-            quota.hear(f"{each}/0", {"hot": QUOTA}, recent, 8.1)
+            quota.update_from_peers(f"{each}/0", {"hot": QUOTA}, recent, 8.1)
         assert quota.take(HOT, 20_000.0, 1.0, 8.2, GATEWAYS) is None
 
     @pytest.mark.parametrize("seed", range(4))
--- a/test/test_reachability.py
+++ b/test/test_reachability.py
@@ -79,11 +79,13 @@
 
     def send_reports(self, now: float) -> None:
         for one, quota in enumerate(self.quotas):
-            quota.note_told()
+            quota.mark_published()
             for other, receiver in enumerate(self.quotas):
                 if one != other and self.can_reach(one, other, now):
-                    recent = quota.list_recent(now)
-                    receiver.hear(str(one), dict(quota.used), recent, now)
+                    recent = quota.list_own_usage(now)
+                    receiver.update_from_peers(
+                        str(one), dict(quota.used), recent, now
+                    )
 
 
 def play(fleet: Fleet, rate: float, seed: int) -> float:
--- a/test/test_scaling.py
+++ b/test/test_scaling.py
@@ -4,9 +4,9 @@
 
 from lagoonpost.http.message import Address
 from lagoonpost.systems.scaling import (
-    BUSY_AFTER_LOSS,
+    MAX_BUSY_SHARE_AFTER_LOSS,
+    CapacityPool,
     Demand,
-    Tenure,
     count_runners,
     plan_orders,
 )
@@ -29,21 +29,23 @@
 
 def plan(demand=QUIET, there=None, dry=None, scaling=SCALING):
     orders = plan_orders(scaling, demand, there or {}, dry or {}, 100.0)
-    return {order.tenure: order.runners for order in orders}
+    return {order.capacity_pool: order.runners for order in orders}
 
 
 def total(orders, spot):
     return sum(n for tenure, n in orders.items() if tenure.spot is spot)
 
 
-SETTLED = {Tenure("a", False): 1} | {Tenure(d, True): 1 for d in PRICES}
+SETTLED = {CapacityPool("a", False): 1} | {
+    CapacityPool(d, True): 1 for d in PRICES
+}
 
 
 class TestPlanOrders:
     def test_reclaimable_runners_carry_the_load(self):
         orders = plan(there=SETTLED)
         assert total(orders, spot=True) == 3
-        assert orders[Tenure("a", False)] == 1
+        assert orders[CapacityPool("a", False)] == 1
         assert total(orders, spot=False) == 1
 
     def test_the_loss_of_any_domain_leaves_enough(self):
@@ -55,7 +57,9 @@
                     for tenure, count in orders.items()
                     if not (tenure.spot and tenure.domain == lost)
                 )
-                assert left >= max(2, math.ceil(busy / BUSY_AFTER_LOSS))
+                assert left >= max(
+                    2, math.ceil(busy / MAX_BUSY_SHARE_AFTER_LOSS)
+                )
 
     def test_full_price_takes_the_place_of_what_is_not_to_be_had(self):
         """All reclaimable runners are announced to go, none are offered.
@@ -63,20 +67,22 @@
         Without others ordered at the notice the last one alone gets all
         prompts for the rest of the drought.
         """
-        orders = plan(there={Tenure("a", False): 1}, dry=DRY)
+        orders = plan(there={CapacityPool("a", False): 1}, dry=DRY)
         assert total(orders, spot=False) == 3
         assert total(orders, spot=True) == 0
 
     def test_runners_that_are_there_are_kept_before_new_ones_start(self):
-        there = {Tenure("b", False): 2, Tenure("c", False): 1}
+        there = {CapacityPool("b", False): 2, CapacityPool("c", False): 1}
         orders = plan(there=there)
-        kept = orders[Tenure("b", False)] + orders[Tenure("c", False)]
+        kept = (
+            orders[CapacityPool("b", False)] + orders[CapacityPool("c", False)]
+        )
         assert kept == 2
-        assert orders[Tenure("a", False)] == 1
+        assert orders[CapacityPool("a", False)] == 1
 
     def test_full_price_goes_once_reclaimable_ones_are_back(self):
-        there = SETTLED | {Tenure("a", False): 3}
-        assert plan(there=there)[Tenure("a", False)] == 1
+        there = SETTLED | {CapacityPool("a", False): 3}
+        assert plan(there=there)[CapacityPool("a", False)] == 1
 
     def test_in_a_drought_nothing_cheap_is_given_back(self):
         """Reclaimable runners are sent away while the load is low for a while.
@@ -84,9 +90,9 @@
         Half a second later one at full price is ordered for what they did,
         as none of the others are to be had.
         """
-        there = {Tenure("a", False): 1, Tenure("b", True): 3}
+        there = {CapacityPool("a", False): 1, CapacityPool("b", True): 3}
         orders = plan(Demand(0.4), there, dry={"a": 200.0, "c": 200.0})
-        assert orders[Tenure("b", True)] == 3
+        assert orders[CapacityPool("b", True)] == 3
 
     def test_a_drought_prepares_for_the_next_reclaim(self):
         """Domains are reclaimed one after the other, seconds apart.
@@ -95,10 +101,10 @@
         of the four seconds of its start-up waited behind each other.
         """
         busy = 2.2
-        there = {Tenure("a", False): 1, Tenure("b", True): 3}
+        there = {CapacityPool("a", False): 1, CapacityPool("b", True): 3}
         orders = plan(Demand(busy), there, dry={"a": 200.0, "c": 200.0})
         left = total(orders, spot=False)
-        assert left >= math.ceil(busy / BUSY_AFTER_LOSS)
+        assert left >= math.ceil(busy / MAX_BUSY_SHARE_AFTER_LOSS)
 
     def test_cheap_runners_are_more_than_dear_ones(self):
         """Drafts are slow beside prompts that are read.
@@ -118,7 +124,7 @@
                 orders = plan(Demand(busy), dry=dry)
                 for domain in PRICES:
                     both = [
-                        orders.get(Tenure(domain, spot), 0)
+                        orders.get(CapacityPool(domain, spot), 0)
                         for spot in (True, False)
                     ]
                     assert sum(both) <= SCALING.max_runners
@@ -138,4 +144,4 @@
             "1", "chat", Address("127.0.0.1", 1), "a", "v1", 8, spot=True
         )
         leaves = stays._replace(id="2", leaving=True)
-        assert count_runners([stays, leaves]) == {Tenure("a", True): 1}
+        assert count_runners([stays, leaves]) == {CapacityPool("a", True): 1}
--- a/test/test_usage.py
+++ b/test/test_usage.py
@@ -1,7 +1,7 @@
 """Usage windows: what is counted and what is due."""
 
 from lagoonpost.forwarding.usage import UsageCount
-from lagoonpost.systems.usage import find_due, sum_begun
+from lagoonpost.systems.usage import find_due_windows, sum_begun_requests
 from lagoonpost.tables.gateway_report import GatewayReport
 
 
@@ -19,14 +19,14 @@
             make_report("before", {7: {"a": 2}, 8: {"a": 1}}),
             make_report("after", {7: {"a": 3, "b": 1}}),
         ]
-        assert sum_begun(reports, 7) == {"a": 5, "b": 1}
+        assert sum_begun_requests(reports, 7) == {"a": 5, "b": 1}
 
 
 class TestFindDue:
     def test_a_window_is_due_once_its_counts_have_settled(self):
-        assert find_due(105.9, 5.0, 10.0, ()) == [19]
-        assert find_due(106.1, 5.0, 10.0, ()) == [19, 20]
-        assert find_due(106.1, 5.0, 10.0, [19, 20]) == []
+        assert find_due_windows(105.9, 5.0, 10.0, ()) == [19]
+        assert find_due_windows(106.1, 5.0, 10.0, ()) == [19, 20]
+        assert find_due_windows(106.1, 5.0, 10.0, [19, 20]) == []
 
 
 class TestUsageCount:
