--- a/lagoonpost/systems/admission.py
+++ b/lagoonpost/systems/admission.py
@@ -1,21 +1,22 @@
-"""What is let in: a request whose target can be met, by its fair share.
-
-Pattern of load: more work arrives than the runners can do, for long, or one
-workspace sends ten times its share. A queue without a limit then grows until
-every answer is late, and all capacity goes into answers nobody waits for any
-more; one limit for all lets the heaviest sender take it.
-
-On arrival the wait is worked out from the tokens that go before the request
-in its fair queue, over the rate at which our queues drain. If its first part
-would come after its deadline it is refused at once, with the time after which
-coming back helps. Since what goes ahead depends on the workspace, a workspace
-that sends ten times its share meets its own queue and no one else's.
-
-Thresholds: a wait for ``n`` requests with exponential service times deviates
-by 1/sqrt(n) of its mean, so ``DEVIATIONS`` = 2.5 of these are kept: 99 of 100
-admitted then get their slot in time. Predictions are corrected
-by ``BIAS_GAIN`` of the ratio of seen to predicted waits, clipped to
-``BIAS_MOST`` so that one odd wait can't shut the door.
+"""Admission control: refuses requests that would miss their deadline.
+
+Load pattern: arrivals exceed capacity for a long time, or one workspace
+sends ten times its share. An unbounded queue then grows until every answer is
+late and all capacity goes into answers that callers have given up on. One
+limit for all workspaces lets the heaviest sender use it up.
+
+On arrival, the wait is predicted from the tokens that the request's fair
+queue serves first, divided by the rate at which this gateway's queues drain.
+A request whose first part would miss its deadline is refused at once with a
+retry delay. The tokens ahead depend on the workspace, so a workspace that
+sends ten times its share waits behind its own requests only.
+
+Thresholds: the wait for ``n`` requests with exponential service times has a
+standard deviation of 1/sqrt(n) of its mean. ``WAIT_DEVIATIONS`` = 2.5 of them
+are added, so that 99 of 100 admitted requests get a slot in time. Each
+observed wait moves the correction of predictions by ``BIAS_GAIN`` of the
+difference; the ratio of observed to predicted wait is clipped to
+``MAX_BIAS_RATIO``, so that one outlier cannot block all admission.
 """
 
 import math
@@ -37,7 +38,7 @@
 WAIT_DEVIATIONS = 2.5
 BIAS_GAIN = 0.1
 MAX_BIAS_RATIO = 4.0
-# Waits below this say more about ticks than about the queue.
+# Shorter waits are dominated by the tick interval, not by the queue.
 MIN_BIAS_SECONDS = 0.1
 
 OVER_SHARE_STATUS = 429
@@ -45,7 +46,11 @@
 
 
 def predict_target_seconds(pool: Pool, request: RequestRow) -> float:
-    """Estimate seconds from dispatch to what the deadline asks for."""
+    """Estimate the seconds from dispatch to the event the deadline covers.
+
+    This is the whole answer for a plain service and the first part for a
+    model service.
+    """
     if pool.service.kind == "plain":
         route = pool.routes.get(request.route)
         return pool.rates.slot_seconds(count_tokens(request), route)
@@ -53,7 +58,7 @@
 
 
 def count_tokens_ahead(pool: Pool, request: RequestRow) -> float:
-    """Return the tokens that are served before a new request."""
+    """Return the queued tokens that are served before a new request."""
     ahead = pool.queues[request.request_class].tokens_ahead(request.workspace)
     if request.request_class not in SHORT_CLASSES:
         for name in SHORT_CLASSES:
@@ -64,13 +69,13 @@
 def admit(
     pool: Pool, request: RequestRow, now: float, rng: Random
 ) -> QueuedRequest | Refuse:
-    """Decide on a new request.
+    """Admit or refuse a new request.
 
     Args:
         pool: The service's state.
         request: The request.
         now: Time in seconds.
-        rng: Seeded generator for the spread of returns.
+        rng: Seeded generator for the jitter of retry delays.
 
     Returns:
         The queue entry to push, or the refusal.
@@ -92,14 +97,15 @@
         free += protected_headroom(pool)
     idle = free >= 1 and not ahead
     if not idle:
-        # With all slots full, the next one is a mean request's part away.
+        # All slots are full: on average the next one is free after the
+        # gateway drains one mean request.
         wait = (ahead + pool.rates.mean_cost) / drain
     bias = pool.wait_bias.get((request.request_class, request.workspace), 1.0)
     number = max(1.0, ahead / pool.rates.mean_cost)
     longest = wait * bias * (1.0 + WAIT_DEVIATIONS / math.sqrt(number))
-    # While a slot is free a request is let in whatever is predicted. If one
-    # slow spell makes every prediction miss its target, nothing would run
-    # any more, and nothing would ever correct the prediction.
+    # A free slot admits a request whatever the prediction. Otherwise a slow
+    # period that makes every prediction miss its target would stop all
+    # requests, and no answer would ever correct the prediction.
     if not idle and now + longest + first > request.deadline:
         delay = pool.promises.add(cost, ahead, drain, now)
         status, reason = _blame(queue, request.workspace)
@@ -109,7 +115,7 @@
 
 
 def update_wait_bias(pool: Pool, entry: QueuedRequest, now: float) -> None:
-    """Correct predictions by the wait of a dispatched request."""
+    """Update the bias of wait predictions from a dispatched request."""
     if entry.predicted < MIN_BIAS_SECONDS:
         return
     request = entry.request
@@ -120,7 +126,7 @@
 
 
 def set_credit(pool: Pool, queue: FairQueue, drain: float) -> None:
-    """Set what a workspace may catch up on, in virtual time."""
+    """Set the virtual time of unused share that a workspace may reclaim."""
     weights = sum(queue.weight(name) for name in pool.tokens_in_flight) or 1.0
     queue.credit = CREDIT_SECONDS * drain / weights
 
--- a/lagoonpost/systems/affinity.py
+++ b/lagoonpost/systems/affinity.py
@@ -1,24 +1,25 @@
-"""Which runner holds a request's prefix, and how far to follow it.
-
-Pattern of load: workspaces whose requests share long prompts, a few of which
-take most of the load. Routed at random, each runner prefills each prompt
-again; routed always to the holder, one popular prefix makes one runner hot
-while the others idle.
-
-We remember where we sent each prefix block, corrected by cache events where
-those come. An unknown prefix goes to the first runner by rendezvous hashing
-of its first block, so that gateways agree without telling each other. A
-holder is passed over while it has had more than ``BOUND`` times the mean
-work; the runner that takes its place becomes a holder as well, so that a hot
-prefix has as many holders as its load needs.
-
-Thresholds: ``BOUND`` is 1.2 so that what is measured over a window stays
-within 1.25 of the mean. Work is averaged over ``WINDOW`` seconds: shorter
-than the 10 s over which a lost cache is rebuilt, longer than single requests.
-``SLACK`` = 1 request above the bound is let pass, because at light load one
-request alone is more than 1.2 times the mean; with 2, five gateways together
-reached 1.27. Memory is bounded by
-``BLOCKS``: 20,000 blocks take about 4 MB, the oldest use goes first.
+"""Prefix affinity: which runners cache a prefix, and when to prefer them.
+
+Load pattern: workspaces whose requests share long prompts, a few of which
+make up most of the load. Random routing makes every runner prefill every
+prompt again; always routing to the runner that caches the prefix makes one
+runner hot while the others idle.
+
+The gateway records where it sent each prefix block and corrects this by cache
+events where a runner reports them. An unknown prefix goes to the first runner
+by rendezvous hashing of its first block, so that gateways agree without
+communicating. A runner that caches the prefix is skipped while its recent
+work exceeds ``MAX_WORK_RATIO`` times the mean. The runner chosen instead then
+caches the prefix as well, so a hot prefix spreads over as many runners as its
+load needs.
+
+Thresholds: ``MAX_WORK_RATIO`` is 1.2 so that work measured over a window
+stays within 1.25 of the mean. Work decays over ``WORK_DECAY_SECONDS``:
+shorter than the 10 s over which a lost cache is rebuilt, longer than a single
+request. ``SLACK_REQUESTS`` = 1 request above the bound is allowed, because at
+light load a single request exceeds 1.2 times the mean; with 2, five gateways
+together reached 1.27. ``MAX_BLOCKS`` limits memory: 20,000 blocks take about
+4 MB, and the least recently used are evicted first.
 """
 
 import math
@@ -39,31 +40,36 @@
 
 @dataclass(slots=True)
 class PrefixTable:
-    """Runners that likely hold each prefix block, newest last."""
+    """Maps each prefix block to the runners that likely cache it.
+
+    Attributes:
+        holders: Runner names by block, the most recent last; the least
+            recently used block first.
+    """
 
     holders: OrderedDict[int, tuple[str, ...]] = field(
         default_factory=OrderedDict
     )
 
     def store(self, runner: str, blocks: Iterable[int]) -> None:
-        """Note that a runner holds these blocks."""
+        """Record that a runner caches these blocks."""
         for block in blocks:
             names = self.holders.get(block, ())
-            rest = tuple(name for name in names if name != runner)
-            self.holders[block] = (*rest, runner)[-MAX_HOLDERS:]
+            remaining = tuple(name for name in names if name != runner)
+            self.holders[block] = (*remaining, runner)[-MAX_HOLDERS:]
             self.holders.move_to_end(block)
         while len(self.holders) > MAX_BLOCKS:
             self.holders.popitem(last=False)
 
     def drop(self, runner: str, blocks: Iterable[int]) -> None:
-        """Note that a runner no longer holds these blocks."""
+        """Record that a runner no longer caches these blocks."""
         for block in blocks:
             names = self.holders.get(block)
             if names is None:
                 continue
-            rest = tuple(name for name in names if name != runner)
-            if rest:
-                self.holders[block] = rest
+            remaining = tuple(name for name in names if name != runner)
+            if remaining:
+                self.holders[block] = remaining
             else:
                 del self.holders[block]
 
@@ -74,16 +80,16 @@
         """
         if not request.prefix:
             return max(1, request.prompt_tokens)
-        held = 0
+        cached_blocks = 0
         for block in request.prefix:
             if runner not in self.holders.get(block, ()):
                 break
-            held += 1
-        part = 1.0 - held / len(request.prefix)
-        return max(1, round(request.prompt_tokens * part))
+            cached_blocks += 1
+        missing_share = 1.0 - cached_blocks / len(request.prefix)
+        return max(1, round(request.prompt_tokens * missing_share))
 
     def rank(self, prefix: tuple[int, ...]) -> list[str]:
-        """Return likely holders, of the longest match first."""
+        """Return the runners that likely cache a prefix, best match first."""
         ranked: dict[str, None] = {}
         for block in reversed(prefix):
             for name in reversed(self.holders.get(block, ())):
@@ -96,7 +102,7 @@
 def rank_by_hash(
     prefix: tuple[int, ...], loads: Iterable[RunnerLoad]
 ) -> list[str]:
-    """Rank runners for a prefix that none is known to hold."""
+    """Rank runners by rendezvous hash for a prefix without known caches."""
     key = str(prefix[0])
     names = [load.runner.name for load in loads]
     return sorted(
@@ -105,7 +111,11 @@
 
 
 def decay_work(load: RunnerLoad, now: float) -> float:
-    """Bring a runner's assigned work up to date and return it in tokens."""
+    """Decay a runner's assigned work to the current time.
+
+    Returns:
+        The decayed work in tokens.
+    """
     age = now - load.assigned_at
     if age > 0:
         load.assigned *= math.exp(-age / WORK_DECAY_SECONDS)
@@ -114,11 +124,11 @@
 
 
 def is_within_work_bound(work: float, mean: float, cost: float) -> bool:
-    """Return whether a holder may take more of the work.
+    """Return whether a runner that caches a prefix may take more work.
 
     Args:
-        work: Its recent work in tokens.
-        mean: Mean recent work of the runners in tokens.
+        work: Recent work of the runner in tokens.
+        mean: Mean recent work of all candidate runners in tokens.
         cost: Mean cost of a request in tokens.
     """
     return work <= MAX_WORK_RATIO * mean + SLACK_REQUESTS * cost
--- a/lagoonpost/systems/attempt.py
+++ b/lagoonpost/systems/attempt.py
@@ -1,17 +1,19 @@
-"""What a runner's answer or failure under a request means.
-
-Pattern of load: a runner or a whole failure domain goes with all requests on
-it, and each asks for another runner at the same time. If they queue behind
-new arrivals, accepted answers stop in the middle; if errors are retried
-without limit, a fault of the service multiplies its load.
-
-Requests that a runner lost go ahead of new work and are never refused for
-load. An error answer is retried from a budget. A refusal by a full runner
-goes back with jitter, until the request's deadline. What may not run twice is
-retried only if a runner refused it, as then it has not run.
-
-Thresholds: the first delay after a refusal is one tick, as the slot that it
-needs is taken for a request's length; the budget's are in backoff.
+"""Handles the outcome of an attempt at a runner: answers, errors, refusals.
+
+Load pattern: a runner or a whole failure domain is lost with all its
+requests, and all of them need another runner at the same time. If they queue
+behind new arrivals, accepted answers stop in the middle; if errors are
+retried without limit, a fault of the service multiplies its load.
+
+Requests that lost their runner are dispatched before new work and are never
+refused because of load. An error answer is retried within a retry budget. A
+request that a full runner refused is retried with jittered backoff until its
+deadline. A request that must not run twice is retried only if a runner
+refused it or could not be reached, as it has not run then.
+
+Thresholds: the first backoff after a refusal is one tick, because the slot
+that the request needs is occupied for the length of a request. The limits of
+the retry budget are in the backoff module.
 """
 
 from random import Random
@@ -33,12 +35,12 @@
 REFUSED_BASE_SECONDS = 0.05
 FAILED_RETRY_SECONDS = 1.0
 FAILED_STATUS = 503
-# Kinds of failure after which the request surely has not run.
+# Kinds of failure after which the request cannot have run.
 NOT_RUN_KINDS = frozenset({"refused", "unreached"})
 
 
 def record_first_part(pool: Pool, event: FirstToken, now: float) -> None:
-    """Learn from the first part of an answer."""
+    """Record the first part of an answer and its latency."""
     flight = pool.flights.get(event.request_id)
     if flight is None or flight.runner != event.runner:
         return
@@ -49,14 +51,14 @@
     load = pool.loads.get(flight.runner)
     if load is not None:
         load.awaiting.pop(event.request_id, None)
-        _judge(pool, load, seconds, flight, now)
+        _record_latency(pool, load, seconds, flight, now)
     pool.rates.update_first_part(flight.prefill, seconds)
 
 
 def record_completion(
     pool: Pool, request: RequestRow, event: Finished, now: float
 ) -> None:
-    """Take a whole answer off the books and learn from it."""
+    """Record a complete answer, its cost and its duration."""
     flight = remove_flight(pool, request.id, now)
     forget_request(pool, request.id)
     if flight is None:
@@ -69,7 +71,7 @@
         queue.adjust_charge(request.workspace, cost - flight.cost)
     load = pool.loads.get(flight.runner)
     if load is not None and pool.service.kind == "plain":
-        _judge(pool, load, seconds, flight, now)
+        _record_latency(pool, load, seconds, flight, now)
     if load is not None and not load.reported:
         pool.raise_quota(load)
     pool.rates.update_completion(cost, seconds)
@@ -82,17 +84,17 @@
     now: float,
     rng: Random,
 ) -> list[Refuse]:
-    """Take in a failed attempt; queue the request again or refuse it.
+    """Record a failed attempt; queue the request again or refuse it.
 
     Args:
         pool: The service's state.
         request: The request.
-        event: How it failed and whether it wants another runner.
+        event: Kind of the failure and whether a retry is wanted.
         now: Time in seconds.
         rng: Seeded generator.
 
     Returns:
-        The refusal, if the request is given up.
+        The refusal if the request is not retried, else nothing.
     """
     flight = remove_flight(pool, request.id, now)
     refused = event.kind == "refused"
@@ -106,7 +108,7 @@
         forget_request(pool, request.id)
         return []
     if event.kind not in NOT_RUN_KINDS and not request.repeatable:
-        # It may have run: a second run could book twice.
+        # The request may have run: a second run could book twice.
         forget_request(pool, request.id)
         return [Refuse(request.id, FAILED_STATUS, "may_have_run", None)]
     if event.kind == "failed" and not pool.budget.spend():
@@ -127,8 +129,8 @@
 ) -> None:
     tried = pool.tried.setdefault(request.id, set())
     tried.add(event.runner)
-    begun = flight is not None and flight.first_part_at is not None
-    accepted = begun or event.kind in ("lost", "silent", "unreached")
+    started = flight is not None and flight.first_part_at is not None
+    accepted = started or event.kind in ("lost", "silent", "unreached")
     delay = 0.0
     if not accepted:
         delay = compute_backoff(len(tried), REFUSED_BASE_SECONDS, rng)
@@ -136,7 +138,7 @@
     pool.moved[request.id] = Moved(request, version, accepted, now + delay)
 
 
-def _judge(
+def _record_latency(
     pool: Pool,
     load: RunnerLoad,
     seconds: float,
--- a/lagoonpost/systems/budget.py
+++ b/lagoonpost/systems/budget.py
@@ -1,27 +1,27 @@
-"""How many repeats a gateway may send: its part of one shared budget.
-
-Pattern of load: a failure domain is lost and every request there is sent
-again, by all gateways at once; or each runner rejects a part of what it
-gets. Without a bound the repeats add to the load that made requests fail.
-The bound holds for the sum over all gateways, so each gets the part of it
-that needs no news of the others: the ratio applies to its own requests, and
-the floor is divided by their number.
+"""Retry budget: each gateway's part of a budget shared by all gateways.
+
+Load pattern: a failure domain is lost and all gateways retry every request
+there at once, or every runner rejects a part of its requests. Without a limit
+the retries add to the load that made the requests fail. The limit holds for
+the sum over all gateways. Each gateway takes a part that needs no
+coordination: the ratio applies to its own requests, and the floor is divided
+by the number of gateways.
 """
 
 from collections import deque
 
 USED_BUDGET_SHARE = 0.8
-"""Part of the budget that is used: the rest is for windows that are cut
-differently from ours and for requests that were counted but never sent."""
+"""Part of the budget that is used. The rest covers windows with other start
+times than the local ones and requests that were counted but never sent."""
 
 
 class RetryBudget:
-    """Repeats of one service within a sliding window.
+    """Budget for the retries of one service within a sliding window.
 
     Args:
-        ratio: Repeats allowed as a part of the requests.
-        floor: Repeats allowed besides, over all gateways.
-        window: Seconds.
+        ratio: Allowed retries as a part of the requests.
+        floor: Further retries allowed, summed over all gateways.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, floor: float, window: float) -> None:
@@ -29,25 +29,28 @@
         self._floor = floor
         self._window = window
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def note_request(self, now: float) -> None:
         """Count a new request."""
         self._requests.append(now)
 
     def take(self, gateways: int, now: float) -> bool:
-        """Tell whether one more repeat may be sent, and count it.
+        """Count one more retry if the budget allows it.
 
         Args:
             gateways: Number of gateways that share the budget.
             now: Time in seconds.
+
+        Returns:
+            Whether the retry may be sent.
         """
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] <= now - self._window:
                 times.popleft()
         allowed = self._ratio * len(self._requests)
         allowed += self._floor / max(1, gateways)
-        if len(self._repeats) + 1 > USED_BUDGET_SHARE * allowed:
+        if len(self._retries) + 1 > USED_BUDGET_SHARE * allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
--- a/lagoonpost/systems/demand.py
+++ b/lagoonpost/systems/demand.py
@@ -1,14 +1,15 @@
-"""How much model runners have to do, as a number of runners.
-
-Pattern of load: prompts come in waves and bursts, and at times a runner turns
-slow or is lost while nobody says so. The rate of prompt tokens, at the pace at
-which a runner reads them alone, tells how many runners are busy; but not that
-one of them has become five times slower. What waits does: so many seconds of
-reading that are under way everywhere must not take a caller's whole patience.
-
-The larger of the two counts at once and is forgotten slowly, as runners that
-go take the prompts with them that they hold, and new ones need seconds to
-start.
+"""Demand for model runners, measured as the number of busy runners.
+
+Load pattern: prompts come in waves and bursts, and at times a runner becomes
+slow or is lost without any report of it. The rate of prompt tokens, times the
+seconds an unloaded runner takes for a token, gives the number of busy
+runners, but does not show that one of them has become five times slower. The
+backlog does: the prefill work that is in flight must not take more seconds
+than callers will wait.
+
+The larger of the two estimates is used. The demand rises at once and decays
+slowly, because runners that are removed lose their cached prompts and new
+ones take seconds to start.
 """
 
 import math
@@ -19,32 +20,32 @@
 from lagoonpost.tables.configuration import Workspace
 
 RATE_WINDOW_SECONDS = 5.0
-"""Time over which the rate is averaged: an eighth of the waves in which
-callers come, and long enough for some tens of prompts."""
+"""Window for the token rate: an eighth of the period of the waves in which
+callers arrive, and long enough for some tens of prompts."""
 MAX_BACKLOG_SECONDS = 0.8
-"""Reading under way that one runner may have: callers of drafts wait 0.8 s
-and more for the first word."""
+"""Prefill backlog that one runner may have: callers of drafts wait 0.8 s or
+more for the first token."""
 BACKLOG_AVERAGING_SECONDS = 1.5
-"""Time over which what is under way is averaged, so that one prompt of
-40,000 tokens, a second of reading, is no reason for another runner."""
+"""Time constant of the backlog's average, so that one prompt of 40,000
+tokens, a second of prefill, does not add a runner."""
 DECAY_SECONDS = 10.0
-"""Time in which a load that fell is forgotten to a third."""
-
+"""Time in which the demand decays to about a third after the load drops."""
 
 EXPECTED_QUOTA_SHARE = 0.5
-"""Part of the workspaces' quotas that is expected to be read at first: quotas
-are set at about twice the usual, and nothing of the prompts is held yet. At a
-quarter, the first two seconds of 684 requests had 0.74 of their worth."""
+"""Part of the workspaces' quotas that is expected as load after a start.
+Quotas are about twice the usual load, and no prompt is cached yet. With a
+quarter, the 684 requests of the first two seconds reached a score of 0.74
+of their best."""
 
 
 class Sample(NamedTuple):
-    """What was known of a service at one time.
+    """Load of a service at one time.
 
     Attributes:
         at: Time in seconds.
-        total: Prompt tokens that were sent since the start, a counter.
-        waiting: Prompt tokens under way that have not been read.
-        pace: Seconds that one runner takes for a token.
+        total: Counter of the prompt tokens sent since the start.
+        waiting: Prompt tokens in flight that have not been prefilled.
+        pace: Seconds that one unloaded runner takes for a prompt token.
     """
 
     at: float
@@ -56,43 +57,47 @@
 def estimate_initial_busy(
     workspaces: Iterable[Workspace], pace: float
 ) -> float:
-    """Return the runners that callers of some workspaces will keep busy.
+    """Estimate the runners that the workspaces' callers will keep busy.
 
-    Before the first request nothing but the quotas says how many will come.
-    Runners that were sent away by then are missing for a start-up: at 45 of
-    them the first six seconds had 0.2 to 0.4 of their worth.
+    Before the first request, only the quotas indicate the load. Runners that
+    were removed by then are missing until replacements have started: with 45
+    of them, the first six seconds reached a score of 0.2 to 0.4 of their
+    best.
 
     Args:
-        workspaces: All workspaces; those without a quota in tokens say
-            nothing.
-        pace: Seconds that one runner takes for a token.
+        workspaces: All workspaces; a workspace without a quota in tokens
+            is ignored.
+        pace: Seconds that one unloaded runner takes for a prompt token.
     """
-    allowed = sum(each.rate for each in workspaces if each.by_tokens)
+    allowed = sum(
+        workspace.rate for workspace in workspaces if workspace.by_tokens
+    )
     return EXPECTED_QUOTA_SHARE * allowed * pace
 
 
 class DemandMeter:
-    """The demand for one service's runners.
+    """Measures the demand for one service's runners.
 
     Args:
-        known: Whether there is no load yet. Otherwise the first seconds
-            say nothing: a holder that has just started would take what it
-            has not seen for no load, and send runners away from under it.
-        expected: Runners that the first callers are expected to keep busy;
-            it holds until they come, and is forgotten like any load.
+        starts_idle: Whether the service is known to have no load yet.
+            Otherwise the demand is unknown for the first seconds: a newly
+            started lease holder has seen no traffic, would take this for
+            no load, and would remove runners that are in use.
+        expected: Runners that the first callers are expected to keep busy.
+            The value holds until the first load and then decays.
     """
 
     def __init__(self, starts_idle: bool, expected: float = 0.0) -> None:
-        self._known = starts_idle
-        self._begun = not starts_idle
+        self._is_known = starts_idle
+        self._has_load = not starts_idle
         self._samples: deque[Sample] = deque()
-        self._waiting = 0.0
+        self._backlog = 0.0
         self._busy = expected
 
     def note(self, sample: Sample) -> None:
-        """Take what is known now."""
+        """Add a sample of the current load."""
         samples = self._samples
-        passed = sample.at - samples[-1].at if samples else 0.0
+        elapsed = sample.at - samples[-1].at if samples else 0.0
         samples.append(sample)
         while (
             len(samples) > 2
@@ -100,31 +105,31 @@
         ):
             samples.popleft()
         if sample.at - samples[0].at >= RATE_WINDOW_SECONDS:
-            self._known = True
-        recent = 1 - math.exp(-passed / BACKLOG_AVERAGING_SECONDS)
-        under_way = sample.waiting * sample.pace
-        self._waiting += recent * (under_way - self._waiting)
+            self._is_known = True
+        gain = 1 - math.exp(-elapsed / BACKLOG_AVERAGING_SECONDS)
+        backlog = sample.waiting * sample.pace
+        self._backlog += gain * (backlog - self._backlog)
         busy = max(
             self._measure_rate() * sample.pace,
-            self._waiting / MAX_BACKLOG_SECONDS,
+            self._backlog / MAX_BACKLOG_SECONDS,
         )
-        self._begun = self._begun or busy > 0
-        if not self._begun:
+        self._has_load = self._has_load or busy > 0
+        if not self._has_load:
             return
-        fall = math.exp(-passed / DECAY_SECONDS)
-        self._busy = max(busy, busy + (self._busy - busy) * fall)
+        decay = math.exp(-elapsed / DECAY_SECONDS)
+        self._busy = max(busy, busy + (self._busy - busy) * decay)
 
     def busy(self) -> float | None:
-        """Return how many runners are busy; None if it is not known."""
-        return self._busy if self._known else None
+        """Return the number of busy runners; None if it is unknown."""
+        return self._busy if self._is_known else None
 
     def describe(self) -> dict[str, float]:
-        """Return what the demand follows from, the pace in us, for the log."""
+        """Return the inputs of the demand for the log, rates in tokens/s."""
         last = self._samples[-1] if self._samples else Sample(0, 0, 0, 0)
         return {
             "busy": round(self._busy, 2),
             "tokens_per_second": round(self._measure_rate()),
-            "waiting_seconds": round(self._waiting, 3),
+            "waiting_seconds": round(self._backlog, 3),
             "tokens_per_second_alone": round(1 / last.pace)
             if last.pace
             else 0,
@@ -136,5 +141,5 @@
         first, last = self._samples[0], self._samples[-1]
         if last.at - first.at < RATE_WINDOW_SECONDS / 2:
             return 0.0
-        # A restarted gateway's counters begin anew.
+        # The counters of a restarted gateway start from zero.
         return max(0.0, last.total - first.total) / (last.at - first.at)
--- a/lagoonpost/systems/dispatch.py
+++ b/lagoonpost/systems/dispatch.py
@@ -1,4 +1,4 @@
-"""Taking waiting requests to runners while slots are free."""
+"""Dispatches waiting requests to runners while slots are free."""
 
 from random import Random
 
@@ -26,12 +26,12 @@
 from lagoonpost.tables.load import InFlightRequest, RunnerLoad
 from lagoonpost.tables.request import RequestRow
 
-# One event's work is bounded; what is left goes at the next event or tick.
+# Limits the work per event; the rest is dispatched at the next event or tick.
 MAX_DISPATCHED = 64
 
 
 def dispatch_waiting(pool: Pool, now: float, rng: Random) -> list[Action]:
-    """Send what can be sent now: moved requests first, then by fair queue.
+    """Dispatch waiting requests: moved ones first, then by fair queue.
 
     Args:
         pool: The service's state; changed in place.
@@ -39,7 +39,7 @@
         rng: Seeded generator.
 
     Returns:
-        Dispatches, and refusals of requests whose time has run out.
+        Dispatches, and refusals of requests that cannot meet their deadline.
     """
     actions = expire(pool, now, rng)
     actions += _dispatch_moved(pool, now, rng)
@@ -62,17 +62,17 @@
 
 
 def expire(pool: Pool, now: float, rng: Random) -> list[Action]:
-    """Refuse at once what can no longer make its target.
+    """Refuse requests that can no longer meet their deadline.
 
-    Only requests that never ran are given up for load; an accepted one that
-    is moved is given up at its route's timeout.
+    Only a request that never ran is refused because of load. An accepted
+    request that waits for another runner is refused at its route's timeout.
     """
     actions: list[Action] = []
     for queue in pool.queues.values():
         for entry in queue.pop_expired(now):
-            actions.append(_give_up(pool, queue, entry, now, rng))
+            actions.append(_refuse_queued(pool, queue, entry, now, rng))
     for moved in list(pool.moved.values()):
-        reason = _timed_out(pool, moved, now)
+        reason = _find_timeout_reason(pool, moved, now)
         if reason:
             forget_request(pool, moved.request.id)
             delay = add_jitter(1.0, rng)
@@ -81,19 +81,19 @@
 
 
 def refuse_late(pool: Pool, now: float, rng: Random) -> list[Action]:
-    """Refuse at once what lost its chance when capacity was lost."""
+    """Refuse queued requests that a loss of capacity made late."""
     actions: list[Action] = []
-    for name in CLASSES:
-        queue = pool.queues[name]
+    for class_name in CLASSES:
+        queue = pool.queues[class_name]
         ahead = 0.0
-        if name not in SHORT_CLASSES:
+        if class_name not in SHORT_CLASSES:
             ahead = sum(
                 sum(pool.queues[s].backlog.values()) for s in SHORT_CLASSES
             )
         for entry in sorted(queue.waiting.values(), key=lambda e: e.start):
             route = pool.routes.get(entry.request.route)
             if now + ahead / pool.drain_rate(route) > entry.latest_dispatch:
-                actions.append(_give_up(pool, queue, entry, now, rng))
+                actions.append(_refuse_queued(pool, queue, entry, now, rng))
             else:
                 ahead += entry.cost
     return actions
@@ -102,34 +102,34 @@
 def remove_flight(
     pool: Pool, request_id: str, now: float
 ) -> InFlightRequest | None:
-    """Take a request off its runner's count and return its flight."""
+    """Remove a request from its runner's counts and return its flight."""
     flight = pool.flights.pop(request_id, None)
     if flight is None:
         return None
     pool.drafts -= flight.request_class == "draft"
-    left = pool.tokens_in_flight.get(flight.workspace, 0.0) - flight.cost
-    if left > 1e-6:
-        pool.tokens_in_flight[flight.workspace] = left
+    remaining = pool.tokens_in_flight.get(flight.workspace, 0.0) - flight.cost
+    if remaining > 1e-6:
+        pool.tokens_in_flight[flight.workspace] = remaining
     else:
         pool.tokens_in_flight.pop(flight.workspace, None)
     load = pool.loads.get(flight.runner)
-    # A runner that left took its requests out of the count with it.
+    # The requests of a removed runner are no longer in the total.
     if load is not None and load.remove(request_id, now):
         pool.own -= 1
     return flight
 
 
 def forget_request(pool: Pool, request_id: str) -> None:
-    """Drop all that is known of a request that has left its runner."""
+    """Drop the state of a request that is no longer at a runner."""
     pool.tried.pop(request_id, None)
     cancel_wait(pool, request_id)
 
 
 def cancel_wait(pool: Pool, request_id: str) -> None:
-    """Stop waiting for a runner; the ones that were tried stay known.
+    """Remove a request from all queues but keep its tried runners.
 
-    Without them a request that crashes nothing would go back to the runner
-    that was just lost under it.
+    Without the tried runners, a request that did not cause the crash would
+    be sent back to the runner that was just lost.
     """
     pool.moved.pop(request_id, None)
     release_exclusive(pool, request_id)
@@ -138,7 +138,7 @@
 
 
 def release_exclusive(pool: Pool, request_id: str) -> None:
-    """Give the runner that a suspect had to itself back to all."""
+    """Return the runner reserved for a suspect request to general use."""
     if pool.isolated.pop(request_id, None) is None:
         return
     for load in pool.loads.values():
@@ -148,7 +148,7 @@
 
 def _next_entry(pool: Pool, now: float) -> QueuedRequest | None:
     free = pool.free
-    if free < 1 and _probe_due(pool, now):
+    if free < 1 and _has_due_probe(pool, now):
         free = 1.0
     if free < 1 - protected_headroom(pool):
         return None
@@ -161,7 +161,7 @@
     return None
 
 
-def _probe_due(pool: Pool, now: float) -> bool:
+def _has_due_probe(pool: Pool, now: float) -> bool:
     return any(
         find_probe(pool, loads, set(), now) for loads in pool.versions.values()
     )
@@ -214,7 +214,7 @@
     if pool.service.kind == "plain":
         route = pool.routes.get(request.route)
         expected = pool.rates.slot_seconds(cost, route)
-    _launch(pool, request, load, prefill, expected, now)
+    _add_flight(pool, request, load, prefill, expected, now)
     pool.prefixes.store(name, request.prefix)
     return Dispatch(
         request.id, name, load.runner.version, choice.reason, choice.over
@@ -224,16 +224,17 @@
 def attach_running(
     pool: Pool, request: RequestRow, load: RunnerLoad, now: float
 ) -> None:
-    """Count a request that already runs there, for a caller who is back."""
-    _launch(pool, request, load, 0, 0.0, now)
-    # Its first part went out long ago: it says nothing of the runner now.
+    """Count a request that already runs, for a caller that reconnected."""
+    _add_flight(pool, request, load, 0, 0.0, now)
+    # The first part was sent long ago and is no measure of the runner's
+    # current latency.
     pool.flights[request.id] = pool.flights[request.id]._replace(
         first_part_at=now
     )
     load.awaiting.pop(request.id, None)
 
 
-def _launch(
+def _add_flight(
     pool: Pool,
     request: RequestRow,
     load: RunnerLoad,
@@ -262,7 +263,7 @@
     )
 
 
-def _give_up(
+def _refuse_queued(
     pool: Pool, queue: FairQueue, entry: QueuedRequest, now: float, rng: Random
 ) -> Refuse:
     request = entry.request
@@ -274,7 +275,7 @@
     return Refuse(request.id, 503, "late", add_jitter(delay, rng))
 
 
-def _timed_out(pool: Pool, moved: Moved, now: float) -> str | None:
+def _find_timeout_reason(pool: Pool, moved: Moved, now: float) -> str | None:
     request = moved.request
     if not moved.accepted:
         return "late" if now > request.deadline else None
--- a/lagoonpost/systems/entry.py
+++ b/lagoonpost/systems/entry.py
@@ -1,22 +1,25 @@
-"""Which gateways a workspace is told to use.
-
-Pattern of load: a few workspaces send most of the requests, there is no
-balancer, and callers keep their list for a while. With all gateways listed
-for all, each prompt prefix becomes known on every gateway, and every gateway's
-queue knows only a sliver of each workspace; with one listed, that gateway's
-loss stops the workspace and a large workspace overloads it.
-
-A workspace gets as many gateways as its weight needs and few more, ranked by
-rendezvous hashing, so that a gateway that comes or goes changes few lists.
-The first entries lie in different failure domains. A gateway takes no more
-than ``BOUND`` times the mean weight (bounded loads): then the next by rank
-takes its place. All gateways work this out alike from the declaration and
-the members, and tell each other nothing.
-
-Thresholds: ``LEAST`` = 3 entries leave two when a domain is lost. ``BOUND`` =
-1.25 leaves a gateway a fifth of its capacity for callers that still come by
-an old list; a smaller bound changes more lists when one gateway goes. When
-domains run out the bound gives way: a list that is too short is worse.
+"""Assigns to each workspace the gateways that its callers use.
+
+Load pattern: a few workspaces send most of the requests, there is no load
+balancer, and callers keep their list of gateways for a while. If every
+gateway is listed for every workspace, each prompt prefix becomes known on
+every gateway, and every gateway's queue sees only a sliver of each
+workspace. If only one is listed, the loss of that gateway stops the
+workspace, and a large workspace overloads it.
+
+A workspace gets as many gateways as its weight needs and at least
+``MIN_ENTRIES``, ranked by rendezvous hashing, so that a gateway that joins or
+leaves changes few lists. The first entries are in different failure domains.
+A gateway is assigned at most ``MAX_WEIGHT_RATIO`` times the mean weight
+(consistent hashing with bounded loads); beyond it, the next gateway by rank
+is used. All gateways compute the same lists from the declaration and the
+membership, without communicating.
+
+Thresholds: ``MIN_ENTRIES`` = 3 leaves two entries when a domain is lost.
+``MAX_WEIGHT_RATIO`` = 1.25 reserves a fifth of a gateway's capacity for
+callers that still use an old list; a smaller ratio changes more lists when a
+gateway leaves. The ratio is exceeded when no other gateway fits, as a list
+that is too short is worse.
 """
 
 from collections import defaultdict
@@ -35,12 +38,12 @@
 
     @property
     def name(self) -> str:
-        """Its unique name."""
+        """Unique name of the gateway."""
         ...
 
     @property
     def failure_domain(self) -> str:
-        """Where it runs."""
+        """Failure domain in which the gateway runs."""
         ...
 
 
@@ -53,38 +56,42 @@
     """Assign gateways to all workspaces.
 
     Args:
-        members: Gateways that are serving; one that leaves is not among
-            them.
-        weights: Declared weights by workspace.
+        members: Serving gateways, without those that are shutting down.
+        weights: Declared weights by workspace name.
 
     Returns:
-        For each workspace its gateways, best first.
+        The gateways of each workspace by its name, the preferred one first.
     """
     total = sum(weights.values())
     if not members or total <= 0:
         return dict.fromkeys(weights, ())
-    most = MAX_WEIGHT_RATIO * total / len(members)
-    given: dict[str, float] = dict.fromkeys((m.name for m in members), 0.0)
+    max_weight = MAX_WEIGHT_RATIO * total / len(members)
+    assigned: dict[str, float] = dict.fromkeys((m.name for m in members), 0.0)
     lists = {}
-    # The largest first: they are the hardest to fit. Names break ties, so
-    # that all gateways come to the same lists.
+    # The largest workspaces are the hardest to fit and come first. Names
+    # break ties, so that all gateways compute the same lists.
     for name in sorted(weights, key=lambda w: (-weights[w], w)):
         count = count_entries(weights[name] / total, len(members))
-        part = weights[name] / count
-        chosen = _choose(members, name, count, part, most, given)
+        weight = weights[name] / count
+        chosen = _choose(members, name, count, weight, max_weight, assigned)
         for member in chosen:
-            given[member.name] += part
+            assigned[member.name] += weight
         lists[name] = chosen
     return lists
 
 
 def count_entries(share: float, gateways: int) -> int:
-    """Return how many gateways a workspace with this share of all uses."""
+    """Return the number of gateways for a workspace.
+
+    Args:
+        share: Weight of the workspace as a part of the total weight.
+        gateways: Number of serving gateways.
+    """
     return min(gateways, max(MIN_ENTRIES, ceil(share * gateways)))
 
 
 def rank_members(members: Sequence[Member], workspace: str) -> list[Member]:
-    """Rank gateways by rendezvous hash, one failure domain after another."""
+    """Rank gateways by rendezvous hash, alternating between domains."""
     ranked = sorted(
         members,
         key=lambda m: rendezvous_score(workspace, m.name),
@@ -102,15 +109,15 @@
     members: Sequence[Member],
     workspace: str,
     count: int,
-    part: float,
-    most: float,
-    given: Mapping[str, float],
+    weight: float,
+    max_weight: float,
+    assigned: Mapping[str, float],
 ) -> tuple[Member, ...]:
     ranked = rank_members(members, workspace)
-    fitting = [m for m in ranked if given[m.name] + part <= most]
+    fitting = [m for m in ranked if assigned[m.name] + weight <= max_weight]
     fitting = rank_members(fitting, workspace)[:count]
     if len(fitting) < count:
-        rest = [m for m in ranked if m not in fitting]
-        rest.sort(key=lambda m: given[m.name])
-        fitting += rest[: count - len(fitting)]
+        others = [m for m in ranked if m not in fitting]
+        others.sort(key=lambda m: assigned[m.name])
+        fitting += others[: count - len(fitting)]
     return tuple(fitting)
--- a/lagoonpost/systems/placement.py
+++ b/lagoonpost/systems/placement.py
@@ -1,18 +1,18 @@
-"""Which runner a forwarded request goes to.
-
-Pattern of load: long prompts beside short questions at a few model runners,
-sent by many gateways that each see a part of it. Counting requests ignores
-that a prompt of 9,000 tokens holds up everything behind it for a quarter of
-a second, and that most of it may be in a runner's memory already. Here the
-time to the first byte is predicted for each runner, in tokens that it has
-still to read: what is open there, by our own count and the others' reports,
-and the parts of this prompt that it does not hold.
-
-A session's prompts go to the runner that a hash of its last shared part
-chooses, which all gateways agree on without talking; another runner gets it
-only if waiting there is shorter even though it has to read everything. Pace
-is learned for each runner from answers, and fades to the service's mean so
-that a runner that was slow is tried again.
+"""Placement: chooses the runner for a forwarded request.
+
+Load pattern: long prompts beside short questions on a few model runners, sent
+by many gateways that each see a part of the load. Counting requests ignores
+that a prompt of 9,000 tokens delays everything behind it by a quarter of a
+second, and that most of it may be cached by a runner already. Placement
+predicts the time to first byte for each runner from the tokens that it still
+has to prefill: the open work of this gateway, the open work that the peers
+report, and the parts of this prompt that the runner has not cached.
+
+A session's prompts go to the runner chosen by a hash of its last shared part,
+on which all gateways agree without communicating. Another runner gets such a
+prompt only if it is predicted to be faster although it prefills the whole
+prompt. The pace of each runner is learned from its answers and decays to the
+mean of its service, so that a runner that was slow is tried again.
 """
 
 import math
@@ -26,47 +26,51 @@
 from lagoonpost.tables.metadata import PromptPart
 
 DEFAULT_SECONDS_PER_TOKEN = 1 / 30_000
-"""Seconds a prompt token until something is measured: what engines of today
-read on one accelerator."""
+"""Seconds per prompt token before the first measurement: the usual prefill
+rate of an engine on one accelerator."""
 DEFAULT_PLAIN_SECONDS = 0.05
-"""Seconds of work of a plain request until something is measured."""
+"""Seconds of work per plain request before the first measurement."""
 AVERAGING_GAIN = 0.15
-"""Part of a new measurement in the mean: some ten answers are remembered."""
+"""Weight of a new sample in a moving average, which spans some ten answers."""
 SLOWNESS_DECAY_SECONDS = 5.0
-"""Time in which what was learned of a runner's own pace loses two thirds."""
+"""Time constant with which a runner's slowness decays to its service's mean;
+after it, a third remains."""
 MAX_SLOWNESS, MIN_SLOWNESS = 20.0, 0.25
-"""Bounds of a runner's pace against its service's, so that one answer that
-was held up elsewhere can't shut a runner out for long."""
+"""Bounds of a runner's slowness relative to its service, so that one answer
+that was delayed elsewhere cannot exclude a runner for long."""
 UNLOADED_FASTER_GAIN, UNLOADED_SLOWER_GAIN = 0.4, 0.03
-"""The same for the pace of a prompt alone, by whether a measurement is faster
-or slower. What we hold to be alone may wait behind a prompt that another
-gateway has just sent, so that the faster measurements are the true ones."""
+"""Weights of a new sample of the unloaded pace, if it is faster or slower than
+the average. A prompt that seems to run alone may wait behind a prompt that
+another gateway has just sent, so faster samples are more accurate."""
 MIN_PACE_TOKENS = 400
-"""Prompts below this say more about the way there than about pace."""
+"""Fewest prefilled tokens for a sample of the pace; for shorter prompts the
+network latency dominates."""
 MIN_UNLOADED_TOKENS = 1500
-"""Prompts from here on take so long to read that the way there is a tenth."""
+"""Fewest prefilled tokens for a sample of the unloaded pace; the network
+latency is then at most a tenth of the prefill."""
 OVERHEAD_SLOWER_GAIN = 0.01
-"""Part of a slower measurement in the time to a first byte that is not
-reading: the way there, a first step. Waiting makes most of them slower."""
+"""Weight of a slower sample in the part of the time to first byte that is not
+prefill, such as network latency and the first decoding step. Queueing makes
+most samples slower than this overhead."""
 CACHED_SECONDS = 30.0
-"""How long a part is taken to stay in a runner's memory after its use."""
+"""How long a part is assumed to stay in a runner's cache after its use."""
 FAILURE_PENALTY_SECONDS = 1.0
-"""Wait that a runner which fails all its requests is held to be worth."""
+"""Predicted wait added to a runner whose requests all fail."""
 MIN_SUSPECT_SECONDS = 0.5
 MAX_SUSPECT_SECONDS = 4.0
-"""How long a runner that can't be reached is passed over: at first and at
-most; a crashed one is back after some seconds, and each try costs one
-caller a connection's time-out."""
+"""First and longest backoff for a runner that cannot be reached. A crashed
+runner returns after some seconds, and each attempt costs one caller a
+connection timeout."""
 STEP_OVERHEAD_SECONDS = 0.0005
-"""What each request that runs beside adds to a step, roughly; it only
-decides between runners that are otherwise alike."""
+"""Rough time that each concurrent request adds to a step. It only decides
+between runners that are otherwise equal."""
 
 
 class PlacementRequest(NamedTuple):
-    """What placement has to know of a request.
+    """The properties of a request that placement depends on.
 
     Attributes:
-        service: Service that it goes to.
+        service: Name of the target service.
         prompt: Tokens of the prompt; 0 for a plain request.
         parts: Parts of the prompt.
         engine: Whether the service has model runners.
@@ -79,16 +83,16 @@
 
 
 class Choice(NamedTuple):
-    """A runner with what was predicted for it.
+    """A chosen runner with its predictions.
 
     Attributes:
         endpoint: The runner.
-        seconds: Predicted time to the first byte.
-        unread: Prompt tokens that it has to read.
-        suspect: Whether it could not be reached lately.
-        holder: Runner from which it may copy what it does not hold of the
-            prompt; None if there is none.
-        alone: Whether no other prompt was known to be read there.
+        seconds: Predicted time to first byte.
+        uncached_tokens: Prompt tokens that the runner has to prefill.
+        suspect: Whether the runner was recently unreachable.
+        unloaded: Whether no other prompt was known to be in prefill there.
+        copy_source: Runner from which missing cached parts of the prompt may
+            be copied; None if there is none.
     """
 
     endpoint: Endpoint
@@ -100,12 +104,13 @@
 
 
 class RunnerState:
-    """What this gateway knows of one runner.
+    """This gateway's state of one runner.
 
     Attributes:
-        requests: Own open requests there.
-        tokens: Prompt tokens of own requests that it has still to read.
-        others: Open work of the other gateways.
+        requests: This gateway's open requests at the runner.
+        tokens: Prompt tokens of these requests that are not yet prefilled.
+        peer_work: Open work of the other gateways.
+        failure_rate: Moving average of failed requests, 0 to 1.
     """
 
     def __init__(self) -> None:
@@ -120,7 +125,7 @@
         self._parts: dict[str, float] = {}
 
     def slowness(self, now: float) -> float:
-        """Return its pace against its service's; above 1 is slower."""
+        """Return the pace relative to the service's; above 1 is slower."""
         if self._slowness == 1.0:
             return 1.0
         age = max(0.0, now - self._measured)
@@ -128,7 +133,12 @@
         return float(self._slowness**fade)
 
     def note_pace(self, ratio: float, now: float) -> None:
-        """Learn from one answer's time against the predicted one."""
+        """Update the slowness from one answer.
+
+        Args:
+            ratio: Observed time over the service's predicted time.
+            now: Time in seconds.
+        """
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
         logarithm = (1 - AVERAGING_GAIN) * math.log(self.slowness(now))
         logarithm += AVERAGING_GAIN * math.log(ratio)
@@ -136,31 +146,31 @@
         self._measured = now
 
     def note_outcome(self, failed: bool) -> None:
-        """Learn from an answer that failed or did not."""
+        """Update the failure rate from one outcome."""
         self.failure_rate += AVERAGING_GAIN * (
             float(failed) - self.failure_rate
         )
 
     def note_unreachable(self, now: float) -> None:
-        """Pass over it for a while, longer each time in a row."""
+        """Mark the runner as suspect, with exponential backoff."""
         doubled = max(MIN_SUSPECT_SECONDS, 2 * self._suspect_for)
         self._suspect_for = min(MAX_SUSPECT_SECONDS, doubled)
         self._suspect_until = now + self._suspect_for
 
     def note_reached(self) -> None:
-        """Forget that it could not be reached."""
+        """Clear the suspicion after a successful connection."""
         self._suspect_for = 0.0
         self._suspect_until = -math.inf
 
     def is_suspect(self, now: float) -> bool:
-        """Tell whether it could not be reached lately."""
+        """Return whether the runner was recently unreachable."""
         return now < self._suspect_until
 
     def note_parts(self, parts: Iterable[PromptPart], now: float) -> None:
-        """Remember that it reads these parts."""
+        """Record that the runner prefills and caches these parts."""
         for part in parts:
             self._parts[part.id] = now
-        if len(self._parts) > _MOST_PARTS:
+        if len(self._parts) > _MAX_PARTS:
             oldest = now - CACHED_SECONDS
             self._parts = {
                 id_: used for id_, used in self._parts.items() if used > oldest
@@ -169,26 +179,27 @@
     def count_cached_tokens(
         self, parts: Sequence[PromptPart], now: float
     ) -> int:
-        """Return the tokens at a prompt's beginning that it holds."""
-        held = 0
+        """Return the cached tokens at the beginning of a prompt."""
+        cached = 0
         for part in parts:
             if now - self._parts.get(part.id, -math.inf) > CACHED_SECONDS:
                 break
-            held += part.tokens
-        return held
+            cached += part.tokens
+        return cached
 
 
-_MOST_PARTS = 4096
+_MAX_PARTS = 4096
 
 
 class Placement:
-    """Learned state of all runners, and the choice among them.
+    """Tracks the state of all runners and chooses among them.
 
     Attributes:
-        states: State by the runner's id.
-        paces_alone: Seconds for reading a prompt token alone, by service.
-            The mean pace also holds what prompts wait for each other, so
-            that ordering runners by it would answer waits of any cause.
+        states: State of each runner by its id.
+        paces_alone: Prefill seconds per prompt token at an unloaded
+            runner, by service. The mean pace includes the time that prompts
+            wait for each other, so scaling by it would order runners for
+            waits of any cause.
     """
 
     def __init__(self) -> None:
@@ -196,31 +207,35 @@
         self._pace: dict[str, float] = {}
         self.unloaded_paces: dict[str, float] = {}
         self._overheads: dict[str, float] = {}
-        self._homes = RankingCache()
+        self._rankings = RankingCache()
 
     def state(self, runner: str) -> RunnerState:
-        """Return the state of a runner, new if it is not known."""
+        """Return the state of a runner, created on first use."""
         state = self.states.get(runner)
         if state is None:
             state = self.states[runner] = RunnerState()
         return state
 
     def forget_missing(self, known: Iterable[str]) -> None:
-        """Drop the states of runners that are gone and have no work."""
+        """Drop the states of unknown runners that have no open requests.
+
+        Args:
+            known: Ids of the runners that exist.
+        """
         kept = frozenset(known)
         for runner in list(self.states):
             if runner not in kept and not self.states[runner].requests:
                 del self.states[runner]
 
     def update_from_peers(self, others: Mapping[str, RunnerWork]) -> None:
-        """Take the sum of the other gateways' open work by runner."""
+        """Set the sum of the other gateways' open work by runner."""
         for runner, state in self.states.items():
             state.peer_work = others.get(runner, RunnerWork())
         for runner, work in others.items():
             self.state(runner).peer_work = work
 
     def pace(self, wanted: PlacementRequest) -> float:
-        """Return the service's mean pace in seconds a token or request."""
+        """Return the service's mean pace in seconds per token or request."""
         first = (
             DEFAULT_SECONDS_PER_TOKEN
             if wanted.engine
@@ -236,47 +251,51 @@
         rng: Random,
         leaving: Sequence[Endpoint] = (),
     ) -> Choice | None:
-        """Choose among runners that may get new work.
+        """Choose the runner with the shortest predicted time to first byte.
 
         Args:
-            endpoints: The runners of the service that may be used.
-            leaving: Those that serve on and get no new work.
+            endpoints: The runners of the service that may get new work.
             wanted: The request.
             now: Time in seconds.
-            rng: Breaks ties, so that gateways do not all choose alike.
+            rng: Breaks ties, so that gateways do not all make the same
+                choice.
+            leaving: Runners that are shutting down; they get no new work
+                but can be copied from.
 
         Returns:
-            The best runner; None if there is none at all.
+            The choice; None if there are no runners.
         """
         if not endpoints:
             return None
-        order = self._homes.rank((*endpoints, *leaving), wanted.parts)
-        usable = {each.id for each in endpoints}
-        home = next((each.id for each in order if each.id in usable), "")
+        order = self._rankings.rank((*endpoints, *leaving), wanted.parts)
+        usable = {endpoint.id for endpoint in endpoints}
+        home = next((runner.id for runner in order if runner.id in usable), "")
         pace = self.pace(wanted)
         predict = _predict_prompt if wanted.engine else _predict_plain
-        found: tuple[bool, float, float] | None = None
+        best_rank: tuple[bool, float, float] | None = None
         best = endpoints[0], _Predicted(0.0, 0, False)
-        for each in endpoints:
-            state = self.state(each.id)
-            predicted = predict(state, each, wanted, home, pace, now)
-            waits = (
+        for candidate in endpoints:
+            state = self.state(candidate.id)
+            predicted = predict(state, candidate, wanted, home, pace, now)
+            wait = (
                 predicted.seconds
                 + state.failure_rate * FAILURE_PENALTY_SECONDS
             )
-            rank = state.is_suspect(now), waits, rng.random()
-            if found is None or rank < found:
-                found, best = rank, (each, predicted)
-        endpoint, (seconds, unread, alone) = best
+            rank = state.is_suspect(now), wait, rng.random()
+            if best_rank is None or rank < best_rank:
+                best_rank, best = rank, (candidate, predicted)
+        endpoint, (seconds, uncached_tokens, unloaded) = best
         reachable = (
-            each for each in order if not self.state(each.id).is_suspect(now)
+            runner
+            for runner in order
+            if not self.state(runner.id).is_suspect(now)
         )
         return Choice(
             endpoint,
             seconds,
-            unread,
+            uncached_tokens,
             self.state(endpoint.id).is_suspect(now),
-            alone,
+            unloaded,
             find_copy_source(reachable, endpoint, wanted.parts)
             if wanted.engine
             else None,
@@ -285,7 +304,7 @@
     def note_sent(
         self, choice: Choice, wanted: PlacementRequest, now: float
     ) -> None:
-        """Count a request that is on its way."""
+        """Count a request that is being sent."""
         state = self.state(choice.endpoint.id)
         state.requests += 1
         state.tokens += choice.uncached_tokens
@@ -294,7 +313,7 @@
     def note_first_byte(
         self, choice: Choice, wanted: PlacementRequest, took: float, now: float
     ) -> None:
-        """Learn from the time to the first byte; the prompt is read."""
+        """Record the first byte: the prompt is prefilled; update the paces."""
         state = self.state(choice.endpoint.id)
         state.tokens = max(0, state.tokens - choice.uncached_tokens)
         if wanted.engine and choice.uncached_tokens < MIN_PACE_TOKENS:
@@ -305,24 +324,28 @@
             and choice.unloaded
             and choice.uncached_tokens > MIN_UNLOADED_TOKENS
         ):
-            self._note_alone(wanted.service, choice.uncached_tokens, took)
+            self._note_unloaded_pace(
+                wanted.service, choice.uncached_tokens, took
+            )
         ratio = took / max(1e-4, choice.seconds)
         slowness = state.slowness(now)
         state.note_pace(ratio * slowness, now)
         bounded = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio * slowness))
         pace = self.pace(wanted)
-        self._pace[wanted.service] = pace * bounded**_SHARED_LEARNING
+        self._pace[wanted.service] = pace * bounded**_SHARED_GAIN
 
     def _note_overhead(self, service: str, took: float) -> None:
-        """Learn the time to a first byte that no reading takes."""
+        """Update the part of the time to first byte that is not prefill."""
         before = self._overheads.get(service, took)
         rate = 1.0 if took < before else OVERHEAD_SLOWER_GAIN
         self._overheads[service] = before + rate * (took - before)
 
-    def _note_alone(self, service: str, unread: int, took: float) -> None:
-        """Learn the pace of a prompt alone, without what is not reading."""
+    def _note_unloaded_pace(
+        self, service: str, uncached_tokens: int, took: float
+    ) -> None:
+        """Update the unloaded pace, without the overhead."""
         overhead = min(self._overheads.get(service, 0.0), took / 2)
-        sample = (took - overhead) / unread
+        sample = (took - overhead) / uncached_tokens
         before = self.unloaded_paces.get(service, sample)
         rate = (
             UNLOADED_FASTER_GAIN if sample < before else UNLOADED_SLOWER_GAIN
@@ -330,14 +353,19 @@
         self.unloaded_paces[service] = before + rate * (sample - before)
 
     def note_ended(self, choice: Choice, began: bool) -> None:
-        """Count a request that has left the runner."""
+        """Remove a request that has ended at the runner.
+
+        Args:
+            choice: The choice made for the request.
+            began: Whether its first byte was received.
+        """
         state = self.state(choice.endpoint.id)
         state.requests = max(0, state.requests - 1)
         if not began:
             state.tokens = max(0, state.tokens - choice.uncached_tokens)
 
     def report(self) -> dict[str, RunnerWork]:
-        """Return the own open work by runner, for the other gateways."""
+        """Return this gateway's open work by runner, for the peers."""
         return {
             runner: RunnerWork(state.requests, state.tokens)
             for runner, state in self.states.items()
@@ -345,12 +373,18 @@
         }
 
 
-_SHARED_LEARNING = 0.03
-"""Exponent with which one answer moves the service's mean pace."""
+_SHARED_GAIN = 0.03
+"""Exponent of one answer's ratio in the service's mean pace."""
 
 
 class _Predicted(NamedTuple):
-    """Seconds to the first byte, tokens to read, whether nothing is ahead."""
+    """Prediction for one runner.
+
+    Attributes:
+        seconds: Time to first byte.
+        uncached_tokens: Prompt tokens to prefill.
+        unloaded: Whether no other prompt is in prefill.
+    """
 
     seconds: float
     uncached_tokens: int
@@ -367,7 +401,7 @@
 ) -> _Predicted:
     running = state.requests + state.peer_work.requests
     turns = max(1.0, (running + 1) / max(1, endpoint.slots))
-    # Runners that are otherwise alike share the requests.
+    # Spreads requests over runners that are otherwise equal.
     seconds = (
         pace * state.slowness(now) * turns + running * STEP_OVERHEAD_SECONDS
     )
@@ -384,13 +418,15 @@
 ) -> _Predicted:
     running = state.requests + state.peer_work.requests
     pace *= state.slowness(now)
-    held = state.count_cached_tokens(wanted.parts, now)
+    cached = state.count_cached_tokens(wanted.parts, now)
     if endpoint.id == home and len(wanted.parts) > 1:
         shared = sum(part.tokens for part in wanted.parts[:-1])
-        held = max(held, shared)
-    unread = max(1, wanted.prompt - held)
+        cached = max(cached, shared)
+    uncached_tokens = max(1, wanted.prompt - cached)
     ahead = state.tokens + state.peer_work.tokens
-    seconds = (ahead + unread) * pace + running * STEP_OVERHEAD_SECONDS
+    seconds = (
+        ahead + uncached_tokens
+    ) * pace + running * STEP_OVERHEAD_SECONDS
     if running >= endpoint.slots:
         seconds += pace * ahead / max(1, running)
-    return _Predicted(seconds, unread, ahead == 0)
+    return _Predicted(seconds, uncached_tokens, ahead == 0)
--- a/lagoonpost/systems/pool.py
+++ b/lagoonpost/systems/pool.py
@@ -1,4 +1,4 @@
-"""All that a gateway knows of one service: runners, queues, rates."""
+"""State of one service at one gateway: its runners, queues and rates."""
 
 import math
 from collections import Counter
@@ -20,34 +20,39 @@
 from lagoonpost.tables.load_report import LoadReport
 from lagoonpost.tables.request import RequestRow
 
-# A report's view of other gateways' work fades into the mean of all runners
-# with this time constant: about a request's time in a slot, after which what
-# was counted has left.
+# Time constant with which the reported load of other gateways decays to the
+# mean of all runners: about the time that a request occupies a slot, after
+# which the counted requests have ended.
 REPORT_DECAY_SECONDS = 2.0
-# Work sent ahead of free slots, as a part of the slots, is at most this: an
-# engine bears half as much again (see headroom).
+# Most requests sent ahead of free slots, as a part of the slots. An engine
+# tolerates half as many again as its slots (see headroom).
 MAX_SENT_AHEAD_SHARE = 1 / 8
 REPORT_GAIN = 0.2
 INITIAL_QUOTA_PARTS = 3
 
 
 def initial_quota(runner: Runner, gateways: int) -> int:
-    """Return our requests at a runner that has not reported yet.
+    """Return the quota of requests at a runner that has not reported yet.
 
-    Gateways that start together would else each fill the whole runner. A
-    workspace uses few gateways (see entry), so one may get several parts.
+    Without this limit, gateways that start together would each fill the
+    whole runner. As a workspace uses few gateways (see entry), a gateway may
+    use several gateways' parts.
+
+    Args:
+        runner: The declared runner.
+        gateways: Number of gateways.
     """
     part = min(1.0, INITIAL_QUOTA_PARTS / max(1, gateways))
     return max(1, math.ceil(runner.slots * part))
 
 
 class Isolation(NamedTuple):
-    """Where a suspect request should run alone.
+    """Constraints on the runner of an isolated suspect request.
 
     Attributes:
-        avoid: Versions on which it was lost before.
-        turn: Its place among all suspects; gateways that know the same
-            suspects thereby send them to different runners.
+        avoid: Versions on which the request was lost before.
+        turn: Position of the request among all suspects, by which gateways
+            that know the same suspects send them to different runners.
     """
 
     avoid: frozenset[str]
@@ -59,9 +64,9 @@
 
     Attributes:
         request: The request.
-        version: Version that began it, or the empty string.
-        accepted: Whether it may no longer be refused for load.
-        ready: Time before which it isn't sent again.
+        version: Version that began the answer, or the empty string.
+        accepted: Whether the request may no longer be refused because of load.
+        ready: Earliest time of the next dispatch.
     """
 
     request: RequestRow
@@ -76,22 +81,35 @@
 
     Attributes:
         service: The declared service.
-        routes: Its routes by path.
+        routes: Routes of the service by path.
         shares: Share of new work by version.
-        sent: New requests sent so far.
-        given: New requests given to each version, decayed.
-        loads: Runners that we talk to, by name; leaving ones are gone.
-        slots: Slots that new work may use.
-        own: Our requests in flight at ``loads``.
-        drafts: Our drafts in flight.
-        others: Other gateways' requests, as last reported.
-        quota: Own requests that we may have at ``loads``.
-        paced_at: Time at which the runners' token pace was last compared.
-        gap: Mean seconds from what a report measured to the next report.
-        used: Tokens in flight by workspace.
-        bias: Seen over predicted waits, by class and workspace.
-        domains: Failure domains of the declared runners.
-        alone: Suspect requests that must have a runner to themselves.
+        sent: Number of new requests sent so far.
+        sent_by_version: New requests sent to each version, decayed.
+        loads: Load of the runners in use by name, without those that are
+            shutting down.
+        versions: The same loads, by version of the runner.
+        slots: Slots that new requests may use.
+        own: This gateway's requests in flight at ``loads``.
+        drafts: This gateway's drafts in flight.
+        others: Other gateways' requests in flight, as last reported.
+        quota: Requests that this gateway may have in flight at ``loads``.
+        pace_compared_at: Time at which the token pace of the runners was last
+            compared.
+        report_interval: Mean seconds from the measurement of a report to the
+            next report.
+        tokens_in_flight: Cost in tokens of the requests in flight, by
+            workspace.
+        wait_bias: Observed over predicted waits, by class and workspace.
+        domains: Number of failure domains of the declared runners.
+        flights: This gateway's requests in flight by id.
+        queues: Fair queue of each request class.
+        isolated: Suspect requests that must run alone on a runner, by id.
+        moved: Accepted requests that wait for another runner, by id.
+        tried: Names of the runners already tried, by request id.
+        rates: Learned cost and duration of requests.
+        prefixes: Runners that likely cache each prefix block.
+        promises: Work of the refused callers that got a retry delay.
+        budget: Budget for retries after errors.
     """
 
     service: Service
@@ -127,38 +145,39 @@
 
     @property
     def free(self) -> float:
-        """Slots that we may still take, by own count and reports."""
+        """Slots that this gateway may still use."""
         return self.quota - self.own
 
     @property
     def waiting(self) -> int:
-        """Requests in the queues."""
+        """Number of queued requests."""
         return sum(len(queue.waiting) for queue in self.queues.values())
 
     def own_share(self) -> float:
-        """Return our part of the work in flight, above 0.
+        """Return this gateway's share of the requests in flight, above 0.
 
-        One is added to both sides: a gateway that has nothing in flight yet
-        can still get the next slot.
+        One is added to both counts, so that a gateway without requests in
+        flight can still get the next slot.
         """
         return (self.own + 1.0) / (self.own + self.others + 1.0)
 
     def drain_rate(self, route: Route | None) -> float:
-        """Return the tokens a second that leave our queues when full."""
+        """Return the tokens per second drained from full queues."""
         seconds = self.rates.slot_seconds(1.0, route)
         slots = max(self.slots, 1.0)
         return slots * self.own_share() / max(seconds, 1e-6)
 
     def occupancy(self, load: RunnerLoad, now: float) -> float:
-        """Return a runner's requests: own, and others' by aged report."""
+        """Estimate a runner's requests from own counts and the aged report."""
         mean = self.others / max(1, len(self.loads))
         fresh = math.exp((load.measured_at - now) / REPORT_DECAY_SECONDS)
         return load.own + fresh * load.others + (1.0 - fresh) * mean
 
     def take_report(self, report: LoadReport, now: float, rng: Random) -> None:
-        """Correct a report by what we had there when it was measured.
+        """Update a runner's load from its report.
 
-        A report that was overtaken by a newer one is dropped.
+        This gateway's own requests at the time of the measurement are
+        subtracted. A report older than the last one is dropped.
         """
         load = self.loads.get(report.runner)
         if load is None or report.measured_at <= load.measured_at:
@@ -174,22 +193,22 @@
     def set_others(
         self, load: RunnerLoad, others: float, measured: float
     ) -> None:
-        """Set what other gateways have at a runner."""
+        """Set the number of other gateways' requests at a runner."""
         self.others = max(0.0, self.others + others - load.others)
         load.others = others
         load.measured_at = measured
 
     def set_quota(self, load: RunnerLoad, own: int, rng: Random) -> None:
-        """Set how many requests we may have at a runner.
+        """Set how many requests this gateway may have at a runner.
 
-        All gateways see the same free slots in a report. If each took all
-        of them, the runner would be overfull until the next report, and
-        then empty; each takes its own part of what is free or overfull,
-        rounded at random, so that together they take it once.
+        All gateways see the same free slots in a report. If each used all of
+        them, the runner would be overloaded until the next report and then
+        empty. Each gateway therefore takes its share of the free slots or of
+        the excess, rounded at random, so that together they use them once.
 
         Args:
             load: The runner.
-            own: Our requests there when the report was measured.
+            own: This gateway's requests there when the report was measured.
             rng: Seeded generator.
         """
         slots = load.runner.slots
@@ -199,7 +218,7 @@
         self._change_quota(load, quota)
 
     def take_refusal(self, load: RunnerLoad, now: float, rng: Random) -> None:
-        """Learn from a runner's refusal that others fill it."""
+        """Lower the quota at a runner that refused a request as full."""
         if not load.reported:
             self._change_quota(load, max(1, load.own))
             load.ended = 0
@@ -208,10 +227,11 @@
         self.set_quota(load, load.own, rng)
 
     def raise_quota(self, load: RunnerLoad) -> None:
-        """Let a runner without reports have one more after a full round.
+        """Raise the quota of a runner without reports by one per round.
 
-        A refusal cuts the quota back to what runs, so gateways that share a
-        runner feel their way to what it takes together.
+        A round is as many finished requests as the quota. A refusal lowers
+        the quota to the requests in flight, so that gateways that share a
+        runner probe for its capacity by additive increase.
         """
         load.ended += 1
         if load.ended >= load.quota:
@@ -223,19 +243,20 @@
         self.quota += self.usable(load) - old
 
     def usable(self, load: RunnerLoad) -> float:
-        """Return our requests that a runner may have, by its health too."""
+        """Return the quota at a runner, limited by its health."""
         return min(load.health.limit, load.quota)
 
     def _count_ahead(self, load: RunnerLoad) -> float:
-        # Slots that others free between reports stay empty unless work was
-        # sent ahead: as many as end between reports by Little's law.
+        # Slots that other gateways' requests free between reports stay empty
+        # unless requests are sent ahead: as many as end between two reports
+        # by Little's law.
         if not self.rates.mean_seconds:
             return 0.0
         ended = load.others * self.report_interval / self.rates.mean_seconds
         return min(ended, load.runner.slots * MAX_SENT_AHEAD_SHARE)
 
     def update_totals(self) -> None:
-        """Sum up slots and work over the runners that are usable now."""
+        """Recompute the totals over all runners in use."""
         self.own = sum(load.own for load in self.loads.values())
         self.slots = sum(
             min(load.health.limit, load.runner.slots)
--- a/lagoonpost/systems/prior_usage.py
+++ b/lagoonpost/systems/prior_usage.py
@@ -1,10 +1,10 @@
-"""What was let through before this gateway heard of it.
+"""Quota usage from before this gateway's start.
 
-Pattern of load: all gateways are killed right after a workspace used up its
-quota. Those that start know nothing of it and would let it through again
-within the same window. The store has records of bursts; what came after the
-last one is taken for a whole burst. Where some gateways go on running, they
-tell what they let through themselves.
+Load pattern: all gateways are killed right after a workspace used up its
+quota. The restarted gateways have no counts and would admit the same usage
+again within the same window. The store has records of bursts; the usage after
+the last record is assumed to be a whole burst. Gateways that kept running
+report their own usage.
 """
 
 import math
@@ -21,52 +21,64 @@
 
 
 class PriorUsage:
-    """Use by workspace.
+    """Usage by workspace that was admitted before this gateway's start.
 
     Args:
-        bounds: How exactly quotas are kept.
-        started: Time of this start; None if nothing can have been before.
+        bounds: Window and tolerance of the quotas.
+        started: Time of this start in seconds; None if there can be no prior
+            usage.
     """
 
     def __init__(self, bounds: QuotaBounds, started: float | None) -> None:
         self._bounds = bounds
         self._started = started
         self._records: dict[str, list[Charge]] | None = None
-        self._before: dict[str, SlidingWindow] = {}
-        self._met: dict[str, SlidingWindow] = {}
+        self._assumed: dict[str, SlidingWindow] = {}
+        self._reported: dict[str, SlidingWindow] = {}
 
     def set_bounds(self, bounds: QuotaBounds) -> None:
-        """Keep to other bounds from now on."""
+        """Replace the window and tolerance of the quotas."""
         self._bounds = bounds
-        for windows in (self._before, self._met):
+        for windows in (self._assumed, self._reported):
             for window in windows.values():
                 window.seconds = bounds.window
 
     def needs_records(self, now: float) -> bool:
-        """Tell whether use before this start may count and is not known."""
+        """Return whether the records of prior usage are still required."""
         if self._started is None or self._records is not None:
             return False
         return now - self._started < self._bounds.window
 
     def load_records(self, records: UsageByAge, now: float) -> None:
-        """Take what the store has of the use before this start."""
+        """Set the store's records of the usage before this start.
+
+        Args:
+            records: Usage by workspace; ages in seconds.
+            now: Time in seconds to which the ages refer.
+        """
         self._records = {
-            name: [Charge(now - age, units) for age, units in taken]
-            for name, taken in records.items()
+            name: [Charge(now - age, units) for age, units in charges]
+            for name, charges in records.items()
         }
-        self._before.clear()
+        self._assumed.clear()
 
     def assume_unrecorded(self, workspace: Workspace) -> None:
-        """Take for used what may have been used before this start."""
+        """Count the usage that may have preceded this start.
+
+        Without records, this is the whole limit. With records, it is the
+        recorded usage and a burst that may not have been recorded. In both
+        cases it is reduced by the units that a starting gateway admits.
+        """
         started, name = self._started, workspace.name
-        if started is None or name in self._before:
+        if started is None or name in self._assumed:
             return
         burst = compute_burst(self._bounds, workspace)
         if self._records is None:
             limit = compute_limit(self._bounds, workspace)
             known = [Charge(started, limit - burst)]
         else:
-            # What was recorded since this start is told by those that run.
+            # Usage recorded after this start is reported by the running
+            # gateways; it counts here at the start at the latest.
             known = [
                 Charge(min(at, started), units)
                 for at, units in self._records.get(name, ())
@@ -75,53 +87,57 @@
             0.0, burst - compute_startup_allowance(self._bounds, workspace)
         )
         after = math.nextafter(started, math.inf)
-        self._before[name] = SlidingWindow(self._bounds.window)
-        self._before[name].replace([*known, Charge(after, unknown)])
+        self._assumed[name] = SlidingWindow(self._bounds.window)
+        self._assumed[name].replace([*known, Charge(after, unknown)])
 
     def add_peer_usage(self, name: str, units: float, now: float) -> None:
-        """Add what a gateway that is heard first let through in the window."""
-        window = self._met.setdefault(name, SlidingWindow(self._bounds.window))
+        """Add the usage in the window from a peer's first report."""
+        window = self._reported.setdefault(
+            name, SlidingWindow(self._bounds.window)
+        )
         window.add_spread(units, now - self._bounds.window, now)
 
     def discard(self) -> None:
-        """Know nothing of it any more, as a hub tells it with the rest."""
+        """Drop all prior usage, as a hub's summary includes it."""
         self._started = None
-        self._before.clear()
-        self._met.clear()
+        self._assumed.clear()
+        self._reported.clear()
 
     def workspace_names(self) -> set[str]:
-        """Return the workspaces that something is known of."""
-        return {*self._before, *self._met}
+        """Return the names of the workspaces that have prior usage."""
+        return {*self._assumed, *self._reported}
 
     def sum(self, name: str, now: float) -> float:
-        """Return the units within the window."""
-        larger = self._find_larger(name, now)
+        """Return the units of prior usage within the window."""
+        larger = self._find_larger_window(name, now)
         return larger.sum(now) if larger else 0.0
 
     def list_ages(self, name: str, now: float) -> list[tuple[float, float]]:
-        """Return pairs of the use's age in seconds and its units."""
-        larger = self._find_larger(name, now)
+        """Return the prior usage as pairs of age in seconds and units."""
+        larger = self._find_larger_window(name, now)
         return larger.list_ages(now) if larger else []
 
     def find_excess(
         self, workspace: Workspace, since: float, now: float
     ) -> float:
-        """Return the units beyond the rate that the store has no record of."""
-        before = self._before.get(workspace.name)
-        if before is None or self._started is None:
+        """Return the unrecorded units in excess of the rate."""
+        assumed = self._assumed.get(workspace.name)
+        if assumed is None or self._started is None:
             return 0.0
         since = max(since, self._started)
-        return before.find_excess(workspace.rate, since, now)
+        return assumed.find_excess(workspace.rate, since, now)
 
-    def _find_larger(self, name: str, now: float) -> SlidingWindow | None:
-        """Return the larger one of two accounts of the same use.
+    def _find_larger_window(
+        self, name: str, now: float
+    ) -> SlidingWindow | None:
+        """Return the larger one of two accounts of the same usage.
 
-        Others tell their own when they are first heard, the store has what
-        all of them let through.
+        Peers report their own usage in their first report; the store records
+        the usage of all gateways.
         """
         found = [
             windows[name]
-            for windows in (self._before, self._met)
+            for windows in (self._assumed, self._reported)
             if name in windows
         ]
-        return max(found, key=lambda each: each.sum(now), default=None)
+        return max(found, key=lambda window: window.sum(now), default=None)
--- a/lagoonpost/systems/queueing.py
+++ b/lagoonpost/systems/queueing.py
@@ -1,22 +1,22 @@
-"""Queues of waiting requests: who goes next when a slot is free.
-
-Pattern of load: short checks and bookings beside drafts that hold a slot for
-tens of seconds, and one workspace that sends many times its share. First
-come, first served lets whoever sends most set everyone's wait, and a check
-waits for a draft to end.
-
-Each class has a start-time fair queue over workspaces, in tokens by weight:
-a workspace's next request starts where its last one ended in virtual time,
-so an idle share is lent out. A share that was not used may be caught up on
-for a short time only. Short classes go before drafts; drafts are owed a floor
-so that checks can't starve them.
-
-Thresholds: a workspace may catch up on ``CREDIT_SECONDS`` of its share.
-Without it a caller that stays below its share waits whenever two of its
-requests come close together; 3 s hold the bursts of one caller of some
-requests a second, and are the most by which another one is set back. While
-drafts wait they are owed ``DRAFT_FLOOR`` of our slots: a fifth keeps a draft
-no worse than five times its time alone.
+"""Fair queues of waiting requests, and the order of the request classes.
+
+Load pattern: short checks and bookings beside drafts that occupy a slot for
+tens of seconds, and one workspace that sends many times its share. With first
+come, first served, the heaviest sender determines everyone's wait, and a
+check waits for a draft to end.
+
+Each class has a start-time fair queue over workspaces, in tokens by weight: a
+workspace's next request starts where its last one ended in virtual time, so
+an idle share is lent to others. Unused share can be reclaimed for a short
+time only. Short classes are served before drafts; drafts have a guaranteed
+minimum share, so that checks cannot starve them.
+
+Thresholds: a workspace may reclaim ``CREDIT_SECONDS`` of its share. Without
+it, a caller that stays below its share waits whenever two of its requests
+arrive close together. 3 s cover the bursts of one caller of some requests a
+second, and are the longest delay that this causes for another one. While
+drafts wait, they are guaranteed ``DRAFT_FLOOR_SHARE`` of this gateway's
+slots: with a fifth, a draft takes at most five times its time alone.
 """
 
 import math
@@ -40,11 +40,11 @@
 
     Attributes:
         request: The request.
-        cost: Its cost in tokens.
-        start: Its start tag in virtual time.
-        latest: Time after which a dispatch can't make its target.
-        queued: Time at which it was queued.
-        predicted: Wait in seconds that was predicted for it.
+        cost: Cost of the request in tokens.
+        start: Start tag in virtual time.
+        latest_dispatch: Latest dispatch time that meets the deadline.
+        queued: Time at which the request was queued.
+        predicted: Predicted wait in seconds.
     """
 
     request: RequestRow
@@ -61,11 +61,15 @@
 
     Attributes:
         weights: Declared weights by workspace.
-        credit: Virtual time that an idle workspace may catch up on.
-        virtual: Latest start tag that was served.
-        finish: Finish tag of each workspace's last request.
+        credit: Virtual time of unused share that a workspace may reclaim.
+        virtual_time: Largest start tag of a dispatched request.
+        finish_tags: Finish tag of each workspace's last request.
         backlog: Tokens queued by workspace.
         waiting: Queued requests by id.
+        heap: Start tag, sequence number and id of the requests; removed
+            requests are skipped.
+        deadlines: The same with the latest dispatch time.
+        push_count: Number of requests queued so far, to break ties.
     """
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -85,24 +89,24 @@
         return max(self.weights.get(workspace, 1.0), 1e-6)
 
     def next_start(self, workspace: str) -> float:
-        """Return the start tag that its next request would get."""
+        """Return the start tag of a workspace's next request."""
         earliest = self.virtual_time - self.credit
         return max(earliest, self.finish_tags.get(workspace, -math.inf))
 
     def is_within_share(
         self, workspace: str, start: float | None = None
     ) -> bool:
-        """Return whether a workspace has had no more than its share.
+        """Return whether a workspace has used less than its share.
 
         Args:
-            workspace: Its name.
-            start: Start tag of a request of it; the next one's by default.
+            workspace: Name of the workspace.
+            start: Start tag of a request; by default the next one's.
         """
         tag = self.next_start(workspace) if start is None else start
         return tag < self.virtual_time
 
     def tokens_ahead(self, workspace: str) -> float:
-        """Return the tokens queued that go before its next request."""
+        """Return the tokens queued before a workspace's next request."""
         reach = max(0.0, self.next_start(workspace) - self.virtual_time)
         return sum(
             queued
@@ -112,7 +116,7 @@
         )
 
     def push(self, entry: QueuedRequest) -> None:
-        """Queue a request whose ``start`` is its next start tag."""
+        """Queue a request that starts at its workspace's next start tag."""
         request = entry.request
         workspace = request.workspace
         self.finish_tags[workspace] = entry.start + entry.cost / self.weight(
@@ -128,7 +132,7 @@
         )
 
     def head(self) -> QueuedRequest | None:
-        """Return the request that goes next."""
+        """Return the next request to serve, without removing it."""
         while self.heap:
             start, _, request_id = self.heap[0]
             entry = self.waiting.get(request_id)
@@ -138,7 +142,7 @@
         return None
 
     def pop_expired(self, now: float) -> list[QueuedRequest]:
-        """Return the requests that can no longer make their target."""
+        """Pop the requests that can no longer meet their deadline."""
         late = []
         while self.deadlines and self.deadlines[0][0] < now:
             _, _, request_id = heappop(self.deadlines)
@@ -148,7 +152,7 @@
         return late
 
     def remove(self, request_id: str) -> QueuedRequest | None:
-        """Take a request out, to dispatch it or to give it up."""
+        """Remove a request to dispatch or refuse it."""
         entry = self.waiting.pop(request_id, None)
         if entry is None:
             return None
@@ -159,11 +163,11 @@
         return entry
 
     def serve(self, entry: QueuedRequest) -> None:
-        """Advance virtual time by a dispatched request."""
+        """Advance virtual time to a dispatched request's start tag."""
         self.virtual_time = max(self.virtual_time, entry.start)
 
     def adjust_charge(self, workspace: str, tokens: float) -> None:
-        """Charge a workspace for what an answer took beyond its estimate."""
+        """Charge a workspace for the tokens beyond a request's estimate."""
         tag = self.next_start(workspace) + tokens / self.weight(workspace)
         self.finish_tags[workspace] = tag
 
@@ -175,11 +179,11 @@
 
     Args:
         queues: The queues by class.
-        drafts: Our drafts in flight.
-        flights: All our requests in flight.
+        drafts: This gateway's drafts in flight.
+        flights: All of this gateway's requests in flight.
 
     Returns:
-        Classes, first to serve first.
+        The classes, the first to serve first.
     """
     owed = queues["draft"].waiting and drafts < DRAFT_FLOOR_SHARE * flights
     if owed:
--- a/lagoonpost/systems/quota.py
+++ b/lagoonpost/systems/quota.py
@@ -1,22 +1,23 @@
-"""How much of each workspace's quota is left, over all gateways.
-
-Pattern of load: one workspace sends many times its usual, through all
-gateways at once. A fixed part for each gateway refuses callers that happen
-to meet at one of them while the whole quota is hardly used; asking a
-central counter costs a call a request. Here each gateway counts what all of
-them let through within one sliding window: its own at once, the others' when
-their counts arrive, some tenths of a second later.
-
-What the others let through before their news arrives is not known, so the
-limit used here stays below the one that is promised. A gateway that hears
-only some of the others lets through only the part of those that it hears,
-itself included: 1 of 9 cut off keeps a ninth, the other eight the rest.
-
-A limit for the window alone lets all of it through at one moment, and a
-gateway that starts after all were killed can't know how late that was. So a
-burst beyond the rate is let through only once the store has a record of what
-was used before. Gateways that start read the records, and take a whole burst
-besides for used.
+"""Enforces each workspace's quota over all gateways.
+
+Load pattern: one workspace sends many times its usual load through all
+gateways at once. A fixed part of the quota for each gateway refuses callers
+that happen to meet at one gateway while most of the quota is unused; a
+central counter costs a remote call per request. Here each gateway counts the
+usage that all gateways admitted within one sliding window: its own at once,
+that of the peers when their reports arrive, some tenths of a second later.
+
+The usage that peers admitted but have not yet reported is unknown, so the
+enforced limit stays below the promised one. A gateway that is connected to
+only some of its peers admits only the part of the quota of the connected
+gateways, itself included: when 1 of 9 is cut off, it enforces a ninth, and
+the other eight the rest.
+
+With a limit on the window alone, all of it could be admitted at one moment,
+and a gateway that starts after all gateways were killed cannot know how
+recently that was. A burst beyond the rate is therefore admitted only once the
+store has a record of the earlier usage. Gateways that start read the records
+and assume that one further burst was used.
 """
 
 import math
@@ -31,35 +32,36 @@
 from lagoonpost.tables.quota import QuotaBounds, QuotaCheck
 
 MIN_RETRY_SECONDS = 0.2
-"""Least seconds to tell a refused caller; news is about as old."""
+"""Shortest retry delay for a refused caller; reports are about as old."""
 MAX_RETRY_SECONDS = 5.0
-"""Most seconds to tell a refused caller; quotas may be raised meanwhile."""
+"""Longest retry delay for a refused caller, as a quota may be raised."""
 PUBLISH_SHARE = 0.01
-"""Part of a limit after which a gateway tells the others at once what it let
-through, so that nine of them can't let through a tenth unheard."""
+"""Unpublished usage, as a part of the limit, above which a gateway publishes
+at once, so that nine gateways cannot admit a tenth of it unreported."""
 NEAR_LIMIT_SHARE = 0.7
-"""Part of a limit from which a hub tells its sums at the fastest pace: at
-seven times the usual use, which is about half of a quota, a window goes from
-there to its limit within a second."""
+"""Part of a limit above which a hub publishes its summary at the shortest
+interval. The usual usage is about half of a quota; at seven times it, a
+window goes from this share to its limit within a second."""
 PUBLISH_SHARE_GATEWAYS = 9
-"""Gateways up to which that part holds; more share it among them."""
+"""Most gateways for which `PUBLISH_SHARE` holds undivided; a larger number
+shares the total."""
 PROPAGATION_SECONDS = 0.2
-"""Age of the news of what others let through: two reports at the fastest
-pace."""
+"""Age of the peers' reported usage: two reports at the shortest interval."""
 
 
 class Quotas:
-    """Counts of all workspaces.
+    """Counts the usage of all workspaces and enforces their quotas.
 
     Args:
-        bounds: How exactly quotas are kept.
-        started: Time from which this gateway knows what was let through;
-            None if nothing can have been before, as everything is new.
+        bounds: Window and tolerance of the quotas.
+        started: Time of this gateway's start, from which it counts usage; None
+            if there can be no prior usage, as the whole system is new.
 
     Attributes:
-        used: Units let through by this gateway since its start.
-        weighed: Inputs of the last decision, for the log.
-        earlier: What was let through before this gateway heard of it.
+        used: Units admitted by this gateway since its start, by workspace.
+        decision_inputs: Inputs of the last decision, for the log; None if
+            the workspace has no quota.
+        prior_usage: Usage from before this gateway's start.
     """
 
     def __init__(
@@ -70,15 +72,15 @@
         self.prior_usage = PriorUsage(bounds, started)
         self._bounds = bounds
         self._windows: dict[str, SlidingWindow] = {}
-        self._heard: dict[tuple[str, str], float] = {}
-        self._heard_at: dict[str, float] = {}
-        self._untold: dict[str, float] = {}
+        self._peer_totals: dict[tuple[str, str], float] = {}
+        self._peer_report_times: dict[str, float] = {}
+        self._unpublished: dict[str, float] = {}
         self._own: dict[str, deque[Charge]] = {}
         self._recorded_at: dict[str, float] = {}
         self._changed: set[str] = set()
 
     def set_bounds(self, bounds: QuotaBounds) -> None:
-        """Keep to other bounds from now on."""
+        """Replace the window and tolerance of the quotas."""
         self._bounds = bounds
         self.prior_usage.set_bounds(bounds)
         for window in self._windows.values():
@@ -88,38 +90,45 @@
         self,
         workspace: Workspace,
         cost: float,
-        part: float,
+        connected_share: float,
         now: float,
         gateways: int = 1,
     ) -> float | None:
-        """Take a request's units.
+        """Admit a request and count its units, or refuse it.
 
         Args:
-            workspace: Whose it is.
-            cost: Its units.
-            part: Part of all gateways that this one hears of, itself
-                included; 0 to 1.
+            workspace: Workspace of the request.
+            cost: Units of the request.
+            connected_share: Connected gateways as a share of all gateways,
+                this one included; 0 to 1.
             now: Time in seconds.
             gateways: Number of gateways.
 
         Returns:
-            None if it is let through, else seconds until it would be.
+            None if the request is admitted, else the seconds until it would
+            be.
         """
         if workspace.rate <= 0:
             self.decision_inputs = None
             return None
-        weighed = self.decision_inputs = self._weigh(
-            workspace, part, now, gateways
+        inputs = self.decision_inputs = self._collect_inputs(
+            workspace, connected_share, now, gateways
         )
-        if not weighed.fits(cost):
-            return self._find_wait(workspace, weighed, cost, part, now)
-        self._add_own(workspace.name, cost, now)
-        untold = self._untold.get(workspace.name, 0.0) + cost
-        self._untold[workspace.name] = untold
+        if not inputs.fits(cost):
+            return self._find_wait(
+                workspace, inputs, cost, connected_share, now
+            )
+        self._add_own_usage(workspace.name, cost, now)
+        unpublished = self._unpublished.get(workspace.name, 0.0) + cost
+        self._unpublished[workspace.name] = unpublished
         return None
 
-    def _weigh(
-        self, workspace: Workspace, part: float, now: float, gateways: int
+    def _collect_inputs(
+        self,
+        workspace: Workspace,
+        connected_share: float,
+        now: float,
+        gateways: int,
     ) -> QuotaCheck:
         name = workspace.name
         limit = self.limit(workspace)
@@ -128,152 +137,170 @@
         recorded_at = self._recorded_at.get(name, -math.inf)
         burst -= self.prior_usage.find_excess(workspace, recorded_at, now)
         earlier = self.prior_usage.sum(name, now)
-        unheard, repeated = self._expect_unheard(name, gateways * part, now)
+        unreported, repeated = self._estimate_unreported(
+            name, gateways * connected_share, now
+        )
         return QuotaCheck(
-            used=self._sum(name, now),
-            unreported=unheard,
+            used=self._sum_usage(name, now),
+            unreported=unreported,
             unreported_beyond_largest=repeated,
-            # Of what is left, each part of the gateways has its own.
-            limit=earlier + (limit - earlier) * part,
-            excess=self._find_excess(workspace, part, now),
-            burst=burst * part,
+            # Each connected group of gateways gets its part of what the
+            # prior usage leaves.
+            limit=earlier + (limit - earlier) * connected_share,
+            excess=self._find_excess(workspace, connected_share, now),
+            burst=burst * connected_share,
         )
 
     def _find_wait(
         self,
         workspace: Workspace,
-        weighed: QuotaCheck,
+        inputs: QuotaCheck,
         cost: float,
-        part: float,
+        connected_share: float,
         now: float,
     ) -> float:
-        """Return the seconds until the request would be let through."""
+        """Return the seconds until the request would be admitted."""
         over = (
-            weighed.excess
-            + weighed.unreported_beyond_largest
+            inputs.excess
+            + inputs.unreported_beyond_largest
             + cost
-            - weighed.burst
+            - inputs.burst
         )
-        over = min(weighed.excess, over)
-        more = weighed.used + weighed.unreported + cost - weighed.limit
+        over = min(inputs.excess, over)
+        more = inputs.used + inputs.unreported + cost - inputs.limit
         wait = max(
-            over / (workspace.rate * part),
+            over / (workspace.rate * connected_share),
             self._find_window(workspace.name).find_wait(more, now),
         )
         return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
-    def _expect_unheard(
-        self, name: str, heard: float, now: float
+    def _estimate_unreported(
+        self, name: str, connected: float, now: float
     ) -> tuple[float, float]:
-        """Return what others may have let through that is not heard yet.
+        """Estimate the usage that peers admitted but have not yet reported.
 
-        As much as this gateway each: what has become free is free for all
-        of them, and they do not hear of each other for some tenths of a
-        second. Most of many have let through nothing.
+        Each peer is assumed to have admitted as much as this gateway: units
+        that leave the window become available to all of them at once, and
+        their reports take some tenths of a second. The estimate counts at
+        most `PUBLISH_SHARE_GATEWAYS` gateways, as with more of them, most
+        have admitted nothing.
 
         Returns:
-            The units, and how many if the largest request here is left out.
+            The units, and the units without this gateway's largest request.
         """
         own, largest = sum_recent(
             self._own.get(name, ()), now - PROPAGATION_SECONDS
         )
-        others = max(0.0, min(heard, PUBLISH_SHARE_GATEWAYS) - 1)
+        others = max(0.0, min(connected, PUBLISH_SHARE_GATEWAYS) - 1)
         return max(0.0, own) * others, max(0.0, own - largest) * others
 
     def needs_publishing(self, workspace: Workspace, gateways: int) -> bool:
-        """Tell whether the others should hear of a workspace's use now.
+        """Return whether to publish a workspace's usage to the peers at once.
 
         Args:
             workspace: The workspace.
-            gateways: Number of gateways; together they may leave unheard
-                what nine do.
+            gateways: Number of gateways. All together may have as much
+                unpublished usage as `PUBLISH_SHARE_GATEWAYS` of them.
         """
         if workspace.rate <= 0:
             return False
-        untold = self._untold.get(workspace.name, 0.0)
+        unpublished = self._unpublished.get(workspace.name, 0.0)
         share = PUBLISH_SHARE * min(
             1.0, PUBLISH_SHARE_GATEWAYS / max(1, gateways)
         )
-        return untold > share * self.limit(workspace)
+        return unpublished > share * self.limit(workspace)
 
     def is_near_limit(
         self, workspaces: Iterable[Workspace], now: float
     ) -> bool:
-        """Tell whether a workspace may reach its limit by the next news."""
+        """Return whether any workspace is near its limit.
+
+        Such a workspace may reach the limit before the next report.
+        """
         return any(
-            self._sum(each.name, now) > NEAR_LIMIT_SHARE * self.limit(each)
-            for each in workspaces
-            if each.rate > 0
+            self._sum_usage(workspace.name, now)
+            > NEAR_LIMIT_SHARE * self.limit(workspace)
+            for workspace in workspaces
+            if workspace.rate > 0
         )
 
     def mark_published(self) -> None:
-        """Note that the others were told what was let through."""
-        self._untold.clear()
+        """Record that the usage so far was published to the peers."""
+        self._unpublished.clear()
 
     def limit(self, workspace: Workspace) -> float:
-        """Return the units that may be let through within a window."""
+        """Return the units that may be admitted within a window."""
         return compute_limit(self._bounds, workspace)
 
-    # Bursts, and what is known of them after a start
+    # Bursts and their records
 
     def _find_excess(
-        self, workspace: Workspace, part: float, now: float
+        self, workspace: Workspace, connected_share: float, now: float
     ) -> float:
         since = self._recorded_at.get(workspace.name, -math.inf)
         window = self._find_window(workspace.name)
-        return window.find_excess(workspace.rate * part, since, now)
+        return window.find_excess(workspace.rate * connected_share, since, now)
 
     def list_bursting(
         self,
         workspaces: Iterable[Workspace],
         share: float,
-        part: float,
+        connected_share: float,
         now: float,
     ) -> list[str]:
-        """Return whose use has to be recorded, of those that changed.
+        """Return the names of the workspaces whose usage must be recorded.
+
+        Only workspaces whose usage changed since the last call are listed.
 
         Args:
-            workspaces: All of them.
-            share: Part of a burst from which on it has to be.
-            part: Part of all gateways that this one hears of.
+            workspaces: All workspaces.
+            share: Part of a burst above which the usage must be recorded.
+            connected_share: Connected gateways as a share of all gateways.
             now: Time in seconds.
         """
         changed, self._changed = self._changed, set()
         return [
-            each.name
-            for each in workspaces
-            if each.name in changed
-            and each.rate > 0
-            and self._find_excess(each, part, now)
-            > share * part * compute_burst(self._bounds, each)
+            workspace.name
+            for workspace in workspaces
+            if workspace.name in changed
+            and workspace.rate > 0
+            and self._find_excess(workspace, connected_share, now)
+            > share * connected_share * compute_burst(self._bounds, workspace)
         ]
 
     def make_record(
         self, name: str, gateways: int, now: float
     ) -> list[tuple[float, float]]:
-        """Return a workspace's use by its age, for the store.
+        """Return a workspace's usage for the store.
 
-        With no ``gateways`` that are heard it is the own use alone.
+        Args:
+            name: Name of the workspace.
+            gateways: Number of connected gateways; with 0, only this
+                gateway's own usage is returned.
+            now: Time in seconds.
+
+        Returns:
+            Pairs of age in seconds and units.
         """
         self._find_window(name).close_bucket()
         if not gateways:
-            return [(now - at, n) for at, n in self._own.get(name, ())]
-        unheard, _ = self._expect_unheard(name, gateways, now)
-        return [*self._list_ages(name, now), (0.0, round(unheard))]
+            return [(now - at, units) for at, units in self._own.get(name, ())]
+        unreported, _ = self._estimate_unreported(name, gateways, now)
+        return [*self._list_ages(name, now), (0.0, round(unreported))]
 
     def note_recorded(self, name: str, at: float) -> None:
-        """Note that the store has a record of the use until a time."""
+        """Record that the store has the usage until a time."""
         before = self._recorded_at.get(name, -math.inf)
         self._recorded_at[name] = max(before, at)
 
     def forget_records(self) -> None:
-        """Take no use for recorded, as the store lost some rows."""
+        """Treat all usage as unrecorded, because the store lost rows."""
         self._recorded_at.clear()
 
     def refund(self, workspace: Workspace, cost: float, now: float) -> None:
         """Return the units of a request that did not run."""
         if workspace.rate > 0 and cost:
-            self._add_own(workspace.name, -cost, now)
+            self._add_own_usage(workspace.name, -cost, now)
 
     def update_from_peers(
         self,
@@ -282,53 +309,57 @@
         recent: Mapping[str, float],
         now: float,
     ) -> None:
-        """Take another gateway's count into account.
+        """Count the usage in a peer's report.
 
         Args:
-            sender: Identifies one run of the other gateway.
-            used: Units by workspace that it let through since its start.
-            recent: The part of them within the window. When a gateway is
-                first heard, only that counts: the rest is long ago.
+            sender: Identifies one run of the peer.
+            used: Units by workspace that the peer admitted since its start.
+            recent: The units of them within the window. In a peer's first
+                report only these count, as the others left the window.
             now: Time in seconds.
         """
-        known = sender in self._heard_at
-        since = self._heard_at.get(sender, now - self._bounds.window)
-        self._heard_at[sender] = now
+        is_known = sender in self._peer_report_times
+        since = self._peer_report_times.get(sender, now - self._bounds.window)
+        self._peer_report_times[sender] = now
         for name, units in used.items():
-            first = 0.0 if known else units - recent.get(name, 0.0)
-            before = self._heard.get((sender, name), first)
-            self._heard[sender, name] = units
+            first = 0.0 if is_known else units - recent.get(name, 0.0)
+            before = self._peer_totals.get((sender, name), first)
+            self._peer_totals[sender, name] = units
             if units == before:
                 continue
             self._changed.add(name)
-            # One whose whole use is recent may have started like this one.
-            if known or units <= recent.get(name, 0.0):
+            # A peer whose whole usage is recent may have just started, like
+            # this gateway. Its usage does not overlap with prior usage.
+            if is_known or units <= recent.get(name, 0.0):
                 window = self._find_window(name)
                 window.add_spread(units - before, since, now)
             else:
                 self.prior_usage.add_peer_usage(name, units - before, now)
 
     def list_own_usage(self, now: float) -> dict[str, float]:
-        """Return the units that this gateway let through in the window."""
+        """Return the units by workspace that this gateway admitted recently.
+
+        Only units within the window count.
+        """
         recent = {}
         for name, own in self._own.items():
             while own and own[0].at <= now - self._bounds.window:
                 own.popleft()
             if own:
-                recent[name] = sum(each.units for each in own)
+                recent[name] = sum(charge.units for charge in own)
         return recent
 
     def list_taken(
         self, now: float, workspaces: Iterable[Workspace] = ()
     ) -> UsageByAge:
-        """Return what all let through within the window, by its age.
+        """Return the usage of all gateways within the window, by age.
 
         Args:
             now: Time in seconds.
-            workspaces: All of them, also those that nothing is known of.
+            workspaces: All workspaces, including those without usage.
         """
-        for each in workspaces:
-            self.prior_usage.assume_unrecorded(each)
+        for workspace in workspaces:
+            self.prior_usage.assume_unrecorded(workspace)
         listed = {
             name: self._list_ages(name, now)
             for name in {*self._windows, *self.prior_usage.workspace_names()}
@@ -338,21 +369,24 @@
     def replace_with_summary(
         self, taken: UsageByAge, since: float, now: float
     ) -> None:
-        """Take a hub's sums in place of all that was known of others.
+        """Replace the known usage by a hub's summary.
 
         Args:
-            taken: What all let through, own use up to ``since`` included.
-            since: Time up to which own use is in the sums.
+            taken: Usage of all gateways, this gateway's up to ``since``
+                included.
+            since: Time up to which this gateway's usage is included.
             now: Time in seconds.
         """
-        # The hub's sums have what may have been before.
+        # The hub's summary includes the prior usage.
         self.prior_usage.discard()
         for name in self._windows.keys() | taken.keys():
             rows = [
                 Charge(now - age, units) for age, units in taken.get(name, ())
             ]
             rows += [
-                each for each in self._own.get(name, ()) if each.at > since
+                charge
+                for charge in self._own.get(name, ())
+                if charge.at > since
             ]
             self._find_window(name).replace(rows)
 
@@ -360,7 +394,7 @@
         later = self._find_window(name).list_ages(now)
         return later + self.prior_usage.list_ages(name, now)
 
-    def _sum(self, name: str, now: float) -> float:
+    def _sum_usage(self, name: str, now: float) -> float:
         return self._find_window(name).sum(now) + self.prior_usage.sum(
             name, now
         )
@@ -371,7 +405,7 @@
             window = self._windows[name] = SlidingWindow(self._bounds.window)
         return window
 
-    def _add_own(self, name: str, units: float, now: float) -> None:
+    def _add_own_usage(self, name: str, units: float, now: float) -> None:
         self._find_window(name).add(units, now)
         self._changed.add(name)
         self.used[name] = self.used.get(name, 0.0) + units
--- a/lagoonpost/systems/route.py
+++ b/lagoonpost/systems/route.py
@@ -1,9 +1,10 @@
-"""Which route a request takes, and whose request it is.
+"""Route lookup: maps a request to its route and its workspace.
 
-Pattern of load: some hundred routes on one host, and one look-up a request.
-Trying each prefix grows with the routes. As prefixes end with a slash, the
-only candidates are the beginnings of the path that end with one, longest
-first, so that a look-up costs as many steps as the path has slashes.
+Load pattern: some hundred routes on one host, and one lookup per request.
+Comparing each prefix costs time in proportion to the number of routes.
+Prefixes end with a slash, so the only candidates are the beginnings of the
+path that end with one. They are looked up longest first, which takes as many
+steps as the path has slashes.
 """
 
 from random import Random
@@ -16,10 +17,10 @@
 
 
 class RouteTable:
-    """One configuration, indexed.
+    """Index of a configuration's routes and keys.
 
     Attributes:
-        configuration: What it was made from.
+        configuration: The indexed configuration.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -35,11 +36,14 @@
         }
 
     def find_route(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest matching prefix of a path.
 
         Args:
             host: Value of the host header, in lower case.
             target: Path, with or without a query.
+
+        Returns:
+            The route; None if no prefix matches.
         """
         path = target.partition("?")[0]
         end = len(path)
@@ -50,17 +54,17 @@
         return None
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key."""
+        """Return the workspace of a key; None if the key is unknown."""
         return self._workspaces.get(key) if key else None
 
     @property
     def needs_key(self) -> bool:
-        """Whether requests on routes that are not public need a key."""
+        """Whether requests on non-public routes require a key."""
         return bool(self.configuration.workspaces)
 
 
 def choose_service(route: Route, rng: Random) -> str:
-    """Return the service for one request, by the weights of the route."""
+    """Choose the service for a request by the weights of its route."""
     if len(route.shares) == 1:
         return route.shares[0].service
     names = [share.service for share in route.shares]
--- a/lagoonpost/systems/routing.py
+++ b/lagoonpost/systems/routing.py
@@ -1,20 +1,22 @@
-"""Which runner gets a request.
-
-Pattern of load: several gateways send to the same runners, and reports of
-load come late. If each picks the runner that looked least loaded, all pick
-the same one until the next report, which then has the longest queue; random
-or round robin ignores that requests differ in length.
-
-A runner's load is our own requests there, which we know exactly, plus other
-gateways' by the last report, which fades to the mean as it ages. Among
-runners with a free slot, a holder of the prompt's prefix goes first within a
-bound; otherwise the better of two at random, which keeps gateways from
-meeting at one runner and is the better part of what comparing all would give.
-
-A version gets new work by its share: the version that is most behind its
-share goes first. A version other than the largest never gets more than its
-share plus one request, also when the others are full, so that a bad one
-harms no more than was declared.
+"""Routing: chooses the runner for a request.
+
+Load pattern: several gateways send to the same runners, and load reports are
+delayed. If each gateway picks the runner that looked least loaded, all pick
+the same one until the next report, which then has the longest queue. Random
+and round-robin routing ignore that requests differ in length.
+
+A runner's load is the number of this gateway's requests there, which is
+exact, plus the other gateways' requests by the last report, which decays to
+the mean as it ages. Among runners with a free slot, one that caches the
+prompt's prefix is preferred within a bound on its work. Otherwise the less
+loaded of two random runners is chosen, which avoids that gateways converge on
+one runner and gives most of the benefit of comparing all.
+
+New work is divided between versions by their shares: the version furthest
+below its share goes first. A version other than the one with the largest
+share never gets more than its share plus one request, even when the runners
+of the others are full, so that a bad version affects no more requests than
+declared.
 """
 
 from collections.abc import Callable
@@ -32,17 +34,22 @@
 from lagoonpost.tables.load import RunnerLoad
 from lagoonpost.tables.request import RequestRow
 
-# Halving the counts keeps shares about the last requests, some 500 of them.
+# Counts are halved here, so that shares refer to the last 500 or so requests.
 MAX_VERSION_COUNT = 1000
 MAX_RANKED_RUNNERS = 3
 
-
-# How many requests a runner with so many slots may have.
+# Maps a runner's slots to the limit of its requests.
 Limit = Callable[[int], int]
 
 
 class Choice(NamedTuple):
-    """A chosen runner, why, and over which others."""
+    """A chosen runner.
+
+    Attributes:
+        load: Load of the runner.
+        reason: Why it was chosen, for the log.
+        over: Names of the runners that were compared, for the log.
+    """
 
     load: RunnerLoad
     reason: str
@@ -65,14 +72,14 @@
         now: Time in seconds.
         rng: Seeded generator.
         moved: For an accepted request that is moved, the version that began
-            it (the empty string if none did); None for new work.
-        protected: Whether new work may go over the slots a little.
+            the answer, or the empty string if none did; None for new work.
+        protected: Whether new work may slightly exceed the slots.
 
     Returns:
         The choice, or None while no runner has room.
     """
     tried = pool.tried.get(request.id, set())
-    limit = _plain_limit
+    limit = _slot_limit
     if moved is not None:
         limit = partial(moved_limit, domains=pool.domains)
     elif protected:
@@ -89,11 +96,11 @@
 def choose_isolated(
     pool: Pool, request: RequestRow, now: float
 ) -> Choice | None:
-    """Choose a runner for a request that may run beside no other.
+    """Choose a runner for a request that must run alone.
 
-    A suspect of crashing runners is run alone, so that a crash convicts it
-    and harms no other caller. Its runner is kept free of new work until it is
-    idle.
+    A request suspected of crashing runners runs alone, so that a crash proves
+    it to be the cause and affects no other request. The chosen runner is
+    reserved and gets no new work until it is idle.
 
     Returns:
         The choice, or None while the runner still has other requests.
@@ -101,14 +108,15 @@
     loads = sorted(pool.loads.values(), key=lambda load: load.runner.name)
     tried = pool.tried.get(request.id, set())
     avoid, turn = pool.isolated[request.id]
-    kept = [load for load in loads if load.exclusive == request.id]
+    reserved = [load for load in loads if load.exclusive == request.id]
     free = [load for load in loads if load.exclusive is None]
 
     def rank(load: RunnerLoad) -> tuple[bool, bool, bool, int]:
-        # A runner that was just lost is the emptiest of all, and a version
-        # on which the suspect was lost settles nothing once more. Two
-        # suspects on one runner, each sent there by another gateway, would
-        # both look guilty of its loss, so they take turns, not the emptiest.
+        # Load is no criterion: a runner that was just lost has the least.
+        # Another loss on a version where the request was already lost proves
+        # nothing new. Two suspects sent to one runner by different gateways
+        # would both appear to cause its loss, so the position among the
+        # suspects selects the runner.
         return (
             load.runner.name in tried,
             load.health.state == "ejected",
@@ -116,9 +124,9 @@
             (loads.index(load) - turn) % len(loads),
         )
 
-    if not kept and not free:
+    if not reserved and not free:
         return None
-    load = min(kept or free, key=rank)
+    load = min(reserved or free, key=rank)
     load.exclusive = request.id
     if pool.occupancy(load, now) > 0.5:
         return None
@@ -126,7 +134,7 @@
 
 
 def count_version(pool: Pool, version: str) -> None:
-    """Count a new request for its version's share."""
+    """Count a new request towards its version's share."""
     pool.sent += 1
     pool.sent_by_version[version] += 1
     if pool.sent_by_version.total() > MAX_VERSION_COUNT:
@@ -139,16 +147,16 @@
     if total <= 0:
         return [] if pool.shares else list(pool.versions)
     given = pool.sent_by_version.total() + 1
-    behind: dict[str, float] = {}
+    deficits: dict[str, float] = {}
     for name in pool.versions:
         share = pool.shares.get(name, 0.0) / total
         if share > 0:
-            behind[name] = share * given - pool.sent_by_version[name]
-    largest = max(behind, key=lambda name: pool.shares[name])
-    order = sorted(behind, key=lambda name: -behind[name])
-    allowed = [name for name in order if name == largest or behind[name] > 0]
-    if moved in behind:
-        # A stream that goes on with its own version stays consistent.
+            deficits[name] = share * given - pool.sent_by_version[name]
+    largest = max(deficits, key=lambda name: pool.shares[name])
+    order = sorted(deficits, key=lambda name: -deficits[name])
+    allowed = [name for name in order if name == largest or deficits[name] > 0]
+    if moved in deficits:
+        # A stream stays consistent if the version that began it continues.
         allowed = [moved, *(name for name in allowed if name != moved)]
     return allowed
 
@@ -165,7 +173,7 @@
         choice = _follow_prefix(pool, loads, request, now, limit)
         if choice is not None:
             return choice
-    return _choose_of_two(pool, loads, now, rng, limit)
+    return _choose_less_loaded(pool, loads, now, rng, limit)
 
 
 def _has_room(pool: Pool, load: RunnerLoad, limit: Limit) -> bool:
@@ -203,7 +211,7 @@
     return None
 
 
-def _choose_of_two(
+def _choose_less_loaded(
     pool: Pool,
     loads: list[RunnerLoad],
     now: float,
@@ -224,5 +232,5 @@
     return Choice(min(free, key=fill), "least_loaded", names)
 
 
-def _plain_limit(slots: int) -> int:
+def _slot_limit(slots: int) -> int:
     return slots
--- a/lagoonpost/systems/scaling.py
+++ b/lagoonpost/systems/scaling.py
@@ -1,17 +1,17 @@
-"""How many runners of which tenure to order in which failure domain.
-
-Pattern of load: prompts come in waves and a reclaim takes all reclaimable
-runners of a failure domain at once, with seconds of notice, while none are to
-be had anywhere for a while after it. Runners at full price cost four to six
-times as much. Ordering only reclaimable ones leaves nothing when a second
-domain goes while there are none; ordering by what is there after the loss
-comes a start-up too late.
-
-So reclaimable runners carry the load, spread over the domains, with so many
-to spare that the loss of any one domain leaves enough. A base at full price
-stays in the cheapest domain. When none are to be had, runners at full price
-take their place at the notice, and go once others have come back. Reclaims
-come in waves, so that there are by then enough of them for the next one.
+"""Scaling: how many runners to order in each failure domain, spot or not.
+
+Load pattern: prompts come in waves, and a reclaim takes all spot runners of a
+failure domain at once, with seconds of notice, after which no spot capacity
+is available anywhere for a while. Runners at full price cost four to six
+times as much. Ordering only spot runners leaves none when a second domain is
+reclaimed during the shortage; ordering after the loss is late by a start-up.
+
+Spot runners therefore carry the load, spread over the domains, with enough
+spare ones that the loss of any one domain leaves enough. A base of runners at
+full price stays in the cheapest domain. When no spot capacity is available,
+runners at full price replace the reclaimed ones as soon as the notice arrives
+and are removed once spot runners are back. Reclaims come in waves, so there
+must be enough runners by the next one.
 """
 
 import math
@@ -22,42 +22,47 @@
 from lagoonpost.tables.endpoint import Endpoint
 
 MAX_BUSY_SHARE = 0.55
-"""Part of the time in which runners should read prompts: beyond it a prompt
-waits behind others for longer than it takes itself."""
+"""Largest part of the time in which a runner should be in prefill. Above it, a
+prompt waits behind others for longer than its own prefill takes."""
 MAX_BUSY_SHARE_AFTER_LOSS = 0.8
-"""The same after the loss of the largest domain, until others have started."""
+"""The same after the loss of the largest domain, until replacements start."""
 MAX_SPOT_BUSY_SHARE = 0.25
-"""The same for reclaimable runners. They cost a sixth to a quarter, and what
-runs beside a prompt that is read is three to ten times slower meanwhile."""
+"""The same for spot runners. They cost a sixth to a quarter, and requests that
+run beside a prefill are three to ten times slower meanwhile."""
 MIN_RUNNERS = 3
-"""Fewest runners of a service, so that one may be slow and one be lost."""
+"""Fewest runners of a service, so that one may be slow and another lost."""
 MIN_RUNNERS_AFTER_LOSS = 2
 """Fewest runners after the loss of any one domain."""
 SPOT_RETRY_SECONDS = 2.5
-"""Pause before reclaimable runners are asked for again where there were
-none; each try is a priced call."""
+"""Pause before spot runners are ordered again in a domain that had none; each
+attempt is a call that costs money."""
 
 
 class CapacityPool(NamedTuple):
-    """Runners of one kind in one failure domain."""
+    """The runners of one price type in one failure domain.
+
+    Attributes:
+        domain: Name of the failure domain.
+        spot: Whether the cloud may reclaim the runners, at a lower price.
+    """
 
     domain: str
     spot: bool
 
 
 class RunnerOrder(NamedTuple):
-    """The number of runners of one kind that there should be."""
+    """The desired number of runners in one capacity pool."""
 
     capacity_pool: CapacityPool
     runners: int
 
 
 class Demand(NamedTuple):
-    """What a service's runners have to do.
+    """Demand for a service's runners.
 
     Attributes:
-        busy: Runners' worth of prompt reading, as a mean.
-        base: Runners at full price to keep in any case.
+        busy: Mean number of runners that are busy with prefill.
+        base: Number of runners at full price to keep in any case.
     """
 
     busy: float
@@ -65,12 +70,12 @@
 
 
 def count_runners(endpoints: Sequence[Endpoint]) -> dict[CapacityPool, int]:
-    """Return how many runners stay, by kind and failure domain."""
+    """Return the number of runners that stay, by capacity pool."""
     counts: dict[CapacityPool, int] = {}
-    for each in endpoints:
-        if not each.leaving:
-            tenure = CapacityPool(each.failure_domain, each.spot)
-            counts[tenure] = counts.get(tenure, 0) + 1
+    for endpoint in endpoints:
+        if not endpoint.leaving:
+            pool = CapacityPool(endpoint.failure_domain, endpoint.spot)
+            counts[pool] = counts.get(pool, 0) + 1
     return counts
 
 
@@ -81,29 +86,29 @@
     retry_at: Mapping[str, float],
     now: float,
 ) -> list[RunnerOrder]:
-    """Return the number of each kind of runner that there should be.
+    """Return the desired number of runners for each capacity pool.
 
     Args:
         scaling: Bounds and prices.
-        demand: What there is to do.
-        there: Runners that are there and stay.
-        ask_again: For each domain that had no reclaimable runners when they
-            were ordered last, the time from which to order them again.
+        demand: Demand for the service's runners.
+        current: Number of running runners that stay, by capacity pool.
+        retry_at: For each domain that had no spot capacity at the last order,
+            the earliest time in seconds of the next order.
         now: Time in seconds.
 
     Returns:
-        Orders of reclaimable runners, but for domains that have none, then
-        those at full price.
+        Orders of spot runners, except for domains without spot capacity,
+        then those at full price.
     """
-    domains = sorted(scaling.prices, key=lambda each: scaling.prices[each])
+    domains = sorted(scaling.prices, key=lambda domain: scaling.prices[domain])
     if not domains:
         return []
-    wet = [each for each in domains if each not in retry_at]
+    available = [domain for domain in domains if domain not in retry_at]
     full = dict.fromkeys(domains, 0)
     spots = dict.fromkeys(domains, 0)
-    least = max(MIN_RUNNERS, math.ceil(demand.busy / MAX_BUSY_SHARE))
-    total = max(least, math.ceil(demand.busy / MAX_SPOT_BUSY_SHARE))
-    rest = max(
+    required = max(MIN_RUNNERS, math.ceil(demand.busy / MAX_BUSY_SHARE))
+    total = max(required, math.ceil(demand.busy / MAX_SPOT_BUSY_SHARE))
+    required_after_loss = max(
         MIN_RUNNERS_AFTER_LOSS,
         math.ceil(demand.busy / MAX_BUSY_SHARE_AFTER_LOSS),
     )
@@ -111,50 +116,57 @@
     if 0 < scaling.spot_price < 1:
         _spread(spots, domains, total - demand.base, scaling.max_runners, full)
         _raise_to_least(spots, full, scaling.min_runners)
-        while _count_after_loss(full, spots) < rest:
+        while _count_after_loss(full, spots) < required_after_loss:
             if not _spread(spots, domains, 1, scaling.max_runners, full):
                 break
     present = _find_spots(current)
     if retry_at:
-        # What is given back in a drought can't be had again.
-        for each in domains:
-            spots[each] = max(spots[each], present.get(each, 0))
-    kept = sum(present.get(each, 0) for each in domains)
-    missing = least - demand.base - kept
+        # Spot runners released during a shortage cannot be replaced.
+        for domain in domains:
+            spots[domain] = max(spots[domain], present.get(domain, 0))
+    present_total = sum(present.get(domain, 0) for domain in domains)
+    missing = required - demand.base - present_total
     if retry_at:
-        # Reclaims come in waves: while one domain has none to be had, the
-        # next may go, and what replaces it takes a start-up.
+        # Reclaims come in waves: during the shortage in one domain, the next
+        # may be reclaimed, and its replacements take a start-up.
         largest = max(present.values(), default=0)
-        missing = max(missing, rest - demand.base - (kept - largest))
+        missing = max(
+            missing,
+            required_after_loss - demand.base - (present_total - largest),
+        )
     if missing > 0:
-        # At full price what is not there reclaimable, until it has come:
-        # first those that run already, as a new one takes seconds to start.
+        # Runners at full price cover missing spot runners until these have
+        # started. Those already running come first, as a new one takes
+        # seconds to start.
         running = {
-            each: current.get(CapacityPool(each, False), 0) for each in domains
+            domain: current.get(CapacityPool(domain, False), 0)
+            for domain in domains
         }
         for domain in domains:
             added = min(missing, max(0, running[domain] - full[domain]))
             full[domain] += added
             missing -= added
-        coming = {
-            each: max(spots[each] if each in wet else 0, present.get(each, 0))
-            for each in domains
+        expected = {
+            domain: max(
+                spots[domain] if domain in available else 0,
+                present.get(domain, 0),
+            )
+            for domain in domains
         }
-        _fill(full, domains, missing, scaling.max_runners, coming)
+        _fill(full, domains, missing, scaling.max_runners, expected)
     orders = [
-        RunnerOrder(CapacityPool(each, True), spots[each])
-        for each in domains
-        if spots[each] and now >= retry_at.get(each, now)
+        RunnerOrder(CapacityPool(domain, True), spots[domain])
+        for domain in domains
+        if spots[domain] and now >= retry_at.get(domain, now)
     ]
     return orders + [
-        RunnerOrder(CapacityPool(each, False), full[each]) for each in domains
+        RunnerOrder(CapacityPool(domain, False), full[domain])
+        for domain in domains
     ]
 
 
 def _find_spots(there: Mapping[CapacityPool, int]) -> dict[str, int]:
-    return {
-        tenure.domain: count for tenure, count in there.items() if tenure.spot
-    }
+    return {pool.domain: count for pool, count in there.items() if pool.spot}
 
 
 def _raise_to_least(
@@ -167,7 +179,7 @@
 def _count_after_loss(
     full: Mapping[str, int], spots: Mapping[str, int]
 ) -> int:
-    """Return the runners that are left after the worst reclaim."""
+    """Return the runners that remain after the largest reclaim."""
     return sum(full.values()) + sum(spots.values()) - max(spots.values())
 
 
@@ -178,7 +190,15 @@
     most: int,
     others: Mapping[str, int],
 ) -> None:
-    """Add runners to the first domains that have room."""
+    """Add runners to the first domains below their limit.
+
+    Args:
+        counts: Runners by domain, changed in smallest.
+        domains: Domains in order of preference.
+        number: Number of runners to add.
+        most: Most runners of a domain.
+        others: Further runners by domain that count towards the limit.
+    """
     for domain in domains:
         room = max(0, most - counts[domain] - others.get(domain, 0))
         added = min(room, number)
@@ -193,15 +213,28 @@
     most: int,
     others: Mapping[str, int],
 ) -> int:
-    """Add runners one by one where the fewest are, cheapest first.
+    """Add runners one by one to the domain with the fewest of them.
+
+    The cheapest domain breaks ties.
+
+    Args:
+        counts: Runners by domain, changed in smallest.
+        domains: Domains, the cheapest first.
+        number: Number of runners to add.
+        most: Most runners of a domain.
+        others: Further runners by domain that count towards the limit.
 
     Returns:
-        How many found room.
+        The number of runners added.
     """
     for added in range(number):
-        free = [each for each in domains if counts[each] + others[each] < most]
+        free = [
+            domain
+            for domain in domains
+            if counts[domain] + others[domain] < most
+        ]
         if not free:
             return added
-        place = min(free, key=lambda each: counts[each])
-        counts[place] += 1
+        smallest = min(free, key=lambda domain: counts[domain])
+        counts[smallest] += 1
     return max(0, number)
--- a/lagoonpost/systems/session_affinity.py
+++ b/lagoonpost/systems/session_affinity.py
@@ -1,9 +1,10 @@
-"""Which runner holds a session, and where its memory may be copied from.
+"""Session affinity: the runner that caches a session, and sources of copies.
 
-Pattern of load: many gateways send the prompts of many sessions, and runners
-come and go with droughts. Who holds a session follows from a hash of its last
-shared part and the runners, which all gateways know alike, so that nobody is
-asked and a runner that comes or goes moves only its own sessions.
+Load pattern: many gateways send the prompts of many sessions, and runners
+join and leave as spot capacity comes and goes. The home of a session follows
+from rendezvous hashing of its last shared part and the runners. All gateways
+compute it alike, so that no lookup is needed, and a runner that joins or
+leaves moves only its own sessions.
 """
 
 from collections import OrderedDict
@@ -16,10 +17,11 @@
 from lagoonpost.tables.metadata import PromptPart
 
 MIN_COPIED_TOKENS = 1500
-"""Shared tokens from which a copy is asked for: it takes some ten milliseconds
-however few they are, in which a runner reads some hundreds."""
+"""Fewest shared tokens for which a copy is requested. A copy takes some ten
+milliseconds whatever its size, in which a runner prefills some hundreds of
+tokens."""
 MAX_RANKINGS = 400
-"""Sessions whose order of runners is kept; 64 runners take 1 KB each."""
+"""Sessions whose ranking is cached; with 64 runners each takes 1 KB."""
 
 
 class _Ranked(NamedTuple):
@@ -28,10 +30,10 @@
 
 
 class RankingCache:
-    """Keeps the orders in which sessions prefer runners.
+    """LRU cache of the runners' ranking for each session.
 
-    Ranking 60 runners by their hashes takes as long as all else that is
-    decided for a request, and sessions come again while runners stay.
+    Ranking 60 runners by hash takes as long as all other decisions for a
+    request, and sessions return while the set of runners is unchanged.
     """
 
     def __init__(self) -> None:
@@ -40,7 +42,7 @@
     def rank(
         self, endpoints: tuple[Endpoint, ...], parts: Sequence[PromptPart]
     ) -> list[Endpoint]:
-        """Return what `rank_homes` does."""
+        """Return the cached or new result of `rank_by_session`."""
         if len(parts) < 2:
             return []
         key = parts[-2].id
@@ -59,16 +61,17 @@
 ) -> list[Endpoint]:
     """Return the runners in the order in which a session prefers them.
 
-    Rendezvous hashing: all who know the same runners choose alike, and a
-    runner that comes or goes moves only its own sessions.
+    Rendezvous hashing gives the same order on all gateways that know the
+    same runners, and a runner that joins or leaves moves only its own
+    sessions.
 
     Returns:
-        The home first; nothing if the prompt shares no part.
+        The runners, the home first; empty if the prompt has no shared part.
     """
     if len(parts) < 2:
         return []
     key = parts[-2].id
-    return sorted(endpoints, key=lambda each: -_hash(key, each.id))
+    return sorted(endpoints, key=lambda endpoint: -_hash(key, endpoint.id))
 
 
 def find_copy_source(
@@ -76,23 +79,28 @@
 ) -> Endpoint | None:
     """Return the runner from which a prompt's shared parts may be copied.
 
-    The home before a runner came or went is the next one in the session's
-    order, so all who know the same runners find it without being told.
+    If the home changed because a runner joined or left, the previous home is
+    the next runner in the session's order, so every gateway that knows the
+    same runners finds it without communication.
 
     Args:
-        order: Runners in the session's order, also those that leave.
-        target: The runner that gets the request; memory serves only runners
-            of the same version.
-        parts: Parts of the prompt; none if there is no prompt.
+        order: Runners in the session's order, including those that are
+            shutting down.
+        target: The runner that gets the request. Cached state can only be
+            copied between runners of the same version.
+        parts: Parts of the prompt; empty if there is no prompt.
+
+    Returns:
+        The runner; None if there is none or a copy is not worthwhile.
     """
     shared = sum(part.tokens for part in parts[:-1])
     if shared < MIN_COPIED_TOKENS:
         return None
     return next(
         (
-            each
-            for each in order
-            if each.id != target.id and each.version == target.version
+            runner
+            for runner in order
+            if runner.id != target.id and runner.version == target.version
         ),
         None,
     )
--- a/lagoonpost/systems/sliding_window.py
+++ b/lagoonpost/systems/sliding_window.py
@@ -1,4 +1,4 @@
-"""What was let through of one workspace's quota, by when it was."""
+"""Sliding window of the quota usage of one workspace."""
 
 import math
 from collections import deque
@@ -6,67 +6,83 @@
 from typing import NamedTuple
 
 PUBLISHED_BUCKETS = 8
-"""Parts of a window in which use is told to others: what leaves the window
-does so an eighth of it early or late at most."""
+"""Parts of a window in which usage is published to peers. Usage leaves the
+window at most an eighth of its length early or late."""
 LOCAL_BUCKETS = 64
-"""Parts of a window in which use is added up here: a look at all of them for
-each request has to be short."""
+"""Parts of a window in which usage is summed locally. All of them are scanned
+for each request, so their number is small."""
 
 
 class Charge(NamedTuple):
-    """Units that were let through, and when."""
+    """Units that were admitted.
+
+    Attributes:
+        at: Time in seconds.
+        units: Number of units; negative for a refund.
+    """
 
     at: float
     units: float
 
 
 class SlidingWindow:
-    """The use within a sliding window.
+    """The usage within a sliding window.
 
     Attributes:
-        seconds: Length of the window.
+        seconds: Length of the window in seconds.
     """
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
         self._rows: deque[Charge] = deque()
         self._sum = 0.0
-        self._slot_from = -math.inf
+        self._bucket_start = -math.inf
 
     def add(self, units: float, now: float) -> None:
-        """Add what was let through now."""
+        """Add units that are admitted now."""
         self._sum += units
-        if self._rows and now - self._slot_from < self.seconds / LOCAL_BUCKETS:
+        if (
+            self._rows
+            and now - self._bucket_start < self.seconds / LOCAL_BUCKETS
+        ):
             self._rows[-1] = Charge(now, self._rows[-1].units + units)
             return
-        self._slot_from = now
+        self._bucket_start = now
         self._rows.append(Charge(now, units))
 
     def add_spread(self, units: float, since: float, now: float) -> None:
-        """Add what was let through at times that are not known."""
-        pause = self.seconds / PUBLISHED_BUCKETS
-        parts = max(1, min(PUBLISHED_BUCKETS, int((now - since) / pause)))
+        """Add units admitted at unknown times, spread evenly.
+
+        Args:
+            units: Number of units.
+            since: Earliest time of the usage.
+            now: Time in seconds, the latest time of the usage.
+        """
+        bucket_seconds = self.seconds / PUBLISHED_BUCKETS
+        parts = max(
+            1, min(PUBLISHED_BUCKETS, int((now - since) / bucket_seconds))
+        )
         if parts == 1:
             self.add(units, now)
             return
         self.insert(
-            Charge(now - place * pause, units / parts)
-            for place in range(parts)
+            Charge(now - index * bucket_seconds, units / parts)
+            for index in range(parts)
         )
 
     def insert(self, rows: Iterable[Charge]) -> None:
-        """Add what was let through at earlier times."""
+        """Add usage of earlier times."""
         self.replace([*self._rows, *rows])
 
     def replace(self, rows: Iterable[Charge]) -> None:
-        """Take this use in place of all that is known."""
+        """Replace all usage."""
         self._rows = deque(sorted(rows))
-        self._sum = sum(each.units for each in self._rows)
+        self._sum = sum(charge.units for charge in self._rows)
         self.close_bucket()
 
     def close_bucket(self) -> None:
-        """Tell what comes next from all that was added before."""
-        self._slot_from = -math.inf
+        """Separate later usage from all that was added so far."""
+        self._bucket_start = -math.inf
 
     def sum(self, now: float) -> float:
         """Return the units within the window."""
@@ -75,53 +91,53 @@
         return self._sum if self._rows else 0.0
 
     def find_excess(self, rate: float, since: float, now: float) -> float:
-        """Return the most units of a span until now, beyond a rate.
+        """Return the largest excess over a rate of any span that ends now.
 
         Args:
-            rate: Units a second.
-            since: Earliest time at which the span begins.
+            rate: Units per second.
+            since: Earliest start of the span.
             now: Time in seconds.
         """
         excess = 0.0
-        before = now
+        previous = now
         for at, units in self._rows:
             if at > since:
-                left = max(0.0, excess - rate * max(0.0, at - before))
-                excess = max(0.0, left + units)
-                before = at
-        return max(0.0, excess - rate * max(0.0, now - before))
+                remaining = max(0.0, excess - rate * max(0.0, at - previous))
+                excess = max(0.0, remaining + units)
+                previous = at
+        return max(0.0, excess - rate * max(0.0, now - previous))
 
     def find_wait(self, units: float, now: float) -> float:
-        """Return the seconds until so many units have left the window."""
+        """Return the seconds until a number of units have left the window."""
         wait = 0.0
-        for at, free in self._rows:
+        for at, released in self._rows:
             if units <= 0:
                 break
-            units -= free
+            units -= released
             wait = at + self.seconds - now
         return wait
 
     def list_ages(self, now: float) -> list[tuple[float, float]]:
-        """Return pairs of the use's age in seconds and its units."""
+        """Return the usage as pairs of age in seconds and units."""
         if not self.sum(now):
             return []
-        pause = self.seconds / PUBLISHED_BUCKETS
+        bucket_seconds = self.seconds / PUBLISHED_BUCKETS
         buckets: dict[int, float] = {}
         for at, units in self._rows:
-            place = max(0, int((now - at) / pause))
-            buckets[place] = buckets.get(place, 0.0) + units
+            index = max(0, int((now - at) / bucket_seconds))
+            buckets[index] = buckets.get(index, 0.0) + units
         return [
-            (round((place + 0.5) * pause, 2), round(units))
-            for place, units in buckets.items()
+            (round((index + 0.5) * bucket_seconds, 2), round(units))
+            for index, units in buckets.items()
         ]
 
 
 def sum_recent(rows: Sequence[Charge], since: float) -> tuple[float, float]:
-    """Return the units since a time, and the most of one request.
+    """Return the units since a time, and those of the largest request.
 
     Args:
-        rows: Use in the order of its time.
-        since: Time in seconds.
+        rows: Usage in order of time.
+        since: Time in seconds, exclusive.
     """
     total = largest = 0.0
     for at, units in reversed(rows):
--- a/lagoonpost/systems/usage.py
+++ b/lagoonpost/systems/usage.py
@@ -1,18 +1,26 @@
-"""What all gateways counted in one usage window, and which are due."""
+"""Usage reports: sums the counts of a usage window and finds due windows."""
 
 from collections.abc import Iterable
 
 from lagoonpost.tables.gateway_report import GatewayReport
 
 SETTLE_SECONDS = 1.0
-"""Pause after a window's end: two reports of each gateway, so that one
-that is late or lost does not leave a count out."""
+"""Pause after a window's end: two reporting intervals of a gateway, so that a
+late or lost report does not omit a count."""
 
 
 def sum_begun_requests(
     reports: Iterable[GatewayReport], window: int
 ) -> dict[str, int]:
-    """Return the begun requests by workspace, over all runs of gateways."""
+    """Sum the requests that runners began, over all gateway runs.
+
+    Args:
+        reports: The last report of each run of a gateway.
+        window: Number of the usage window.
+
+    Returns:
+        Number of requests by workspace.
+    """
     total: dict[str, int] = {}
     for report in reports:
         for workspace, count in report.begun.get(window, {}).items():
@@ -23,15 +31,18 @@
 def find_due_windows(
     now: float, seconds: float, late: float, done: Iterable[int]
 ) -> list[int]:
-    """Return the windows to be reported now, oldest first.
+    """Return the numbers of the windows to report now, oldest first.
 
     Args:
         now: Seconds since the epoch.
-        seconds: Length of a window.
-        late: Seconds after a window's end for which it is still wanted.
-        done: Windows that need no report any more.
+        seconds: Length of a window in seconds.
+        late: Seconds after a window's end during which a report is still
+            accepted.
+        done: Numbers of windows that need no further report.
     """
     first = int((now - late) // seconds)
     last = int((now - SETTLE_SECONDS) // seconds) - 1
-    kept = frozenset(done)
-    return [each for each in range(first, last + 1) if each not in kept]
+    finished = frozenset(done)
+    return [
+        window for window in range(first, last + 1) if window not in finished
+    ]
--- a/lagoonpost/systems/view.py
+++ b/lagoonpost/systems/view.py
@@ -1,4 +1,4 @@
-"""One member's tables, what is new in them, and its neighbours."""
+"""One member's gossip state: its tables, pending updates and neighbours."""
 
 from collections.abc import Iterable
 
@@ -16,13 +16,13 @@
 
 
 class View:
-    """What one member holds of the others and of the facts.
+    """One member's view of the membership and of the shared facts.
 
     Attributes:
-        me: The own row, as published last.
-        members: All known members, also the own row and tombstones.
-        facts: All facts that hold.
-        detector: Who does not answer and who is suspect.
+        me: This member's own row, as last published.
+        members: All known members, including the own row and tombstones.
+        facts: All current facts.
+        detector: Failure detector: unresponsive and suspect members.
         settled: Whether an exchange has succeeded since the start or the
             last freeze.
     """
@@ -34,26 +34,26 @@
         self.detector = FailureDetector()
         self.settled = settled
         self._topology: Topology | None = None
-        # Rows to push, with the member that each came from.
-        self._member_news: dict[str, str] = {}
-        self._fact_news: dict[str, str] = {}
+        # Keys of the rows to push, with the member that sent the row.
+        self._member_updates: dict[str, str] = {}
+        self._fact_updates: dict[str, str] = {}
         self._learned_members: list[Member] = []
         self._learned_facts: list[Fact] = []
         self.merge_member(me, me.name, now)
 
     def has_updates(self) -> bool:
         """Return whether there are rows to push."""
-        return bool(self._member_news or self._fact_news)
+        return bool(self._member_updates or self._fact_updates)
 
     def take_updates(self) -> "PendingUpdates":
-        """Return the rows to push, once."""
-        news = PendingUpdates(self._member_news, self._fact_news)
-        self._member_news = {}
-        self._fact_news = {}
-        return news
+        """Return and clear the rows to push."""
+        updates = PendingUpdates(self._member_updates, self._fact_updates)
+        self._member_updates = {}
+        self._fact_updates = {}
+        return updates
 
     def take_learned(self) -> ChangedRows | None:
-        """Return the rows that are new since the last call, if any."""
+        """Return the rows learned since the last call; None if no rows are."""
         if not self._learned_members and not self._learned_facts:
             return None
         members = tuple(self._learned_members)
@@ -65,23 +65,26 @@
     def merge_rows(
         self, rows: Packet | Reply, source: str, now: float
     ) -> None:
-        """Take in all rows of a message that came from ``source``."""
+        """Merge all rows of a message received from ``source``."""
         for member in rows.members:
             self.merge_member(member, source, now)
         for fact in rows.facts:
             self.merge_fact(fact, source, now)
 
     def merge_fact(self, fact: Fact, source: str, now: float) -> None:
-        """Take in a fact that came from ``source``."""
+        """Merge a fact received from ``source``."""
         changed = self.facts.merge(fact, now)
         if changed is None:
             return
         self._learned_facts.append(changed)
-        if self._passes_on(source):
-            self._fact_news[changed.id] = source
+        if self._should_forward(source):
+            self._fact_updates[changed.id] = source
 
     def merge_member(self, row: Member, source: str, now: float) -> None:
-        """Take in a member's row that came from ``source``."""
+        """Merge a member's row received from ``source``.
+
+        A row that claims another state of this member is refuted.
+        """
         if row.name == self.me.name and source != self.me.name:
             corrected = refute(self.me, row, now)
             if corrected is None:
@@ -96,26 +99,27 @@
             self.detector.record_state(changed, now)
         self._topology = None
         self._learned_members.append(changed)
-        if self._passes_on(source):
-            self._member_news[changed.name] = source
+        if self._should_forward(source):
+            self._member_updates[changed.name] = source
 
-    def _passes_on(self, source: str) -> bool:
-        # Whoever joins or thaws gets whole tables that the others have;
-        # passing these on would cost each start a flood of all rows.
+    def _should_forward(self, source: str) -> bool:
+        # A member that joins, or resumes after a freeze, receives whole
+        # tables that its peers already have. Forwarding them would flood the
+        # network with all rows at each start.
         return self.settled or source == self.me.name
 
     def drop_expired(self, now: float) -> None:
-        """Forget what has stood long enough."""
+        """Drop expired facts and member rows."""
         self.facts.drop_expired(now)
         self.members.drop_expired(now)
 
     def find_others(self) -> list[Member]:
-        """Return all serving members but this one."""
+        """Return all serving members except this one."""
         rows = self.members.rows.values()
         return [row for row in rows if row.serving and row != self.me]
 
     def neighbours(self, now: float) -> tuple[str, ...]:
-        """Return the names of those whom this member calls."""
+        """Return the names of the members that this member calls."""
         if self._topology is None:
             rows = self.members.rows.values()
             self._topology = build_topology(rows, self.me.region)
@@ -124,18 +128,18 @@
         return near + choose_bridge_links(self._topology, self.me, avoid)
 
     def buckets(self) -> tuple[int, ...]:
-        """Return the digests of both tables, bucket by bucket."""
+        """Return the combined digest of both tables for each bucket."""
         pairs = zip(
             self.members.digest.buckets, self.facts.digest.buckets, strict=True
         )
         return tuple(one ^ other for one, other in pairs)
 
     def root(self) -> int:
-        """Return one digest of both tables."""
+        """Return the combined root digest of both tables."""
         return self.members.digest.root() ^ self.facts.digest.root()
 
     def call(self, name: str, purpose: Purpose, now: float) -> Call:
-        """Return a call to a known member."""
+        """Create a call to a known member."""
         return self.call_address(
             name, self.members.rows[name].address, purpose, now
         )
@@ -143,7 +147,7 @@
     def call_address(
         self, name: str, address: str, purpose: Purpose, now: float
     ) -> Call:
-        """Return a call to an address; ``name`` is empty for a seed."""
+        """Create a call to an address; ``name`` is empty for a seed."""
         packet = Packet(self.me.name, root=self.root())
         if purpose in _SYNCING:
             packet = Packet(
@@ -154,20 +158,23 @@
     def send(
         self, name: str, packet: Packet, purpose: Purpose, now: float
     ) -> Call:
-        """Return a call that takes a packet to a known member."""
+        """Create a call that sends a packet to a known member."""
         address = self.members.rows[name].address
         return Call(name, address, packet, purpose, now)
 
 
 class PendingUpdates:
-    """Rows to push, each with the member it came from."""
+    """Rows to push, each with the member that sent it."""
 
     def __init__(self, members: dict[str, str], facts: dict[str, str]) -> None:
         self._members = members
         self._facts = facts
 
     def pack(self, view: View, target: str) -> Packet | None:
-        """Return what is news to ``target``, or None if nothing is."""
+        """Return a packet of the updates for ``target``; None if it is empty.
+
+        Updates that ``target`` itself sent are left out.
+        """
         members = view.members.rows
         facts = view.facts.rows
         packet = Packet(
@@ -180,12 +187,16 @@
         return packet if packet.members or packet.facts else None
 
 
-def _pick(news: dict[str, str], target: str, rows: Iterable[str]) -> list[str]:
-    held = frozenset(rows)
+def _pick(
+    updates: dict[str, str], target: str, rows: Iterable[str]
+) -> list[str]:
+    known = frozenset(rows)
     return [
-        key for key, source in news.items() if source != target and key in held
+        key
+        for key, source in updates.items()
+        if source != target and key in known
     ]
 
 
-# Calls that compare whole tables.
+# Purposes of calls that compare whole tables.
 _SYNCING: frozenset[Purpose] = frozenset(("sync", "heal"))
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, played: saturation, and one workspace that takes it all."""
+"""Admission in simulation: saturation, and one heavy workspace."""
 
 from random import Random
 
@@ -26,10 +26,10 @@
 
 
 class TestSaturation:
-    """Callers get late answers from a service that works at full speed.
+    """Guards against late answers from a service at full capacity.
 
-    Requests arrive at more than capacity for long. A queue without refusal
-    grows, and every answer is begun after its caller's target.
+    Requests exceed the capacity for a long time. A queue without refusals
+    grows, and every answer starts after its deadline.
     """
 
     @pytest.mark.parametrize("overload", [1.2, 2.0, 5.0])
@@ -56,11 +56,11 @@
         assert sum(five) >= 0.9 * sum(one)
 
     def test_service_is_normal_seconds_after_overload(self):
-        """Callers still get refused after a rush has ended.
+        """Guards against refusals that continue after an overload has ended.
 
         For five seconds three times the capacity arrives, from callers that
-        come back at once whatever they are told. Had a queue piled up, it
-        would go on when they have stopped.
+        retry at once and ignore the retry delay. A long queue would persist
+        after they have stopped.
         """
         player = Player(make_declaration(RUNNERS, SLOTS))
         rush = CHECK._replace(again=True)
@@ -72,11 +72,11 @@
 
 
 class TestSlowSpell:
-    """A service refuses everyone although its runners are idle.
+    """Guards against a service that refuses all requests with idle runners.
 
-    All runners are slow for a while, so that every answer begins after its
-    target. What was learned then says that no target can be met; if all are
-    refused for it, no answer ever says otherwise.
+    All runners are slow for a while, and every answer starts after its
+    deadline. The latency learned then predicts that no deadline can be met.
+    If all requests are refused for it, no answer corrects the prediction.
     """
 
     def test_service_recovers(self):
@@ -89,7 +89,7 @@
 
 
 class TestHeavyWorkspace:
-    """A small caller waits because another one sends ten times its share."""
+    """Guards against delays by a workspace that sends ten times its share."""
 
     def test_others_keep_their_answers(self):
         for seed in (1, 2, 3):
--- a/test/test_affinity.py
+++ b/test/test_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity, played: prompts that share prefixes, a few of them hot."""
+"""Prefix affinity in simulation: shared prefixes, some of them hot."""
 
 import pytest
 from hypothesis import given
@@ -10,11 +10,12 @@
 
 
 class TestSharedPrefixes:
-    """Each answer begins late as its prompt is prefilled again.
+    """Guards against late answers because prompts are prefilled repeatedly.
 
-    Requests of 40 groups share long prompts, the largest group sends a
-    quarter of all. Sent at random, each prompt is cached on no runner when
-    it is needed; sent always to the holder, one runner gets it all.
+    Requests of 40 groups share long prompts, and the largest group sends a
+    quarter of all requests. With random routing, a prompt is not cached on
+    the runner that needs it; always routing to the runner that caches it
+    sends the largest group's load to one runner.
     """
 
     @pytest.mark.parametrize(
--- a/test/test_budget.py
+++ b/test/test_budget.py
@@ -1,4 +1,4 @@
-"""The shared budget of repeats."""
+"""The retry budget that all gateways share."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,28 +18,29 @@
         )
     )
     def test_the_sum_over_all_gateways_stays_within_the_bound(self, events):
-        """All requests of a lost failure domain are sent again at once.
+        """Guards against retries that exceed the shared budget.
 
-        Each gateway alone is within the bound; the sum must be as well, in
-        any window.
+        All requests of a lost failure domain are retried at once. Not only
+        each gateway but also the sum must stay within the budget, in any
+        window.
         """
         budgets = [RetryBudget(0.2, 58, 10.0) for _ in range(9)]
         now = 0.0
         requests: list[float] = []
-        repeats: list[float] = []
+        retries: list[float] = []
         for number, is_request, pause in events:
             now += pause
             if is_request:
                 budgets[number].note_request(now)
                 requests.append(now)
             elif budgets[number].take(9, now):
-                repeats.append(now)
-        for end in repeats:
-            window = [t for t in repeats if end - 10 < t <= end]
-            asked = [t for t in requests if end - 10 < t <= end]
+                retries.append(now)
+        for end in retries:
+            window = [t for t in retries if end - 10 < t <= end]
+            sent = [t for t in requests if end - 10 < t <= end]
             before = [t for t in requests if end - 20 < t <= end - 10]
-            most = max(len(asked), len(before))
-            assert len(window) <= 0.2 * max(most, len(asked)) + 58
+            most = max(len(sent), len(before))
+            assert len(window) <= 0.2 * max(most, len(sent)) + 58
 
     def test_it_comes_back_with_time(self):
         budget = RetryBudget(0.0, 2, 10.0)
--- a/test/test_demand.py
+++ b/test/test_demand.py
@@ -1,4 +1,4 @@
-"""The demand for model runners."""
+"""The measured demand for model runners."""
 
 import pytest
 
@@ -27,10 +27,10 @@
         assert meter.busy() == pytest.approx(1.5, rel=0.01)
 
     def test_what_waits_counts_where_the_rate_says_nothing(self):
-        """A runner becomes five times slower; prompts come as before.
+        """Guards against a slow runner that the token rate does not show.
 
-        By the rate alone nothing has changed, while each caller of that
-        runner waits for seconds.
+        A runner becomes five times slower while the rate of prompts stays the
+        same, and each caller of that runner waits for seconds.
         """
         meter = DemandMeter(starts_idle=True)
         at, total = play(meter, 10, 30_000)
@@ -70,10 +70,10 @@
     COUNTED = Workspace("counted", ("k",), rate=50)
 
     def test_runners_wait_for_the_first_callers(self):
-        """A system starts some seconds before its callers come.
+        """Guards against removing runners before the first request.
 
-        Nothing is asked of the runners then. Sent away until then, they
-        are missing for a start-up when everyone comes.
+        A system starts some seconds before its callers arrive. Runners that
+        are removed in these seconds are missing for a start-up.
         """
         pace = 1 / 30_000
         expected = estimate_initial_busy([self.LARGE, self.COUNTED], pace)
--- a/test/test_dispatch.py
+++ b/test/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch, played: long work among short, and a burst."""
+"""Dispatch in simulation: long requests among short ones, and a burst."""
 
 from random import Random
 
@@ -11,10 +11,10 @@
 
 
 class TestLongAmongShort:
-    """A check waits for a minute because drafts hold every slot.
+    """Guards against checks that wait a minute because drafts use every slot.
 
-    More drafts arrive than there are slots for, and each holds its slot for
-    ten seconds. Checks of half a second come in between.
+    More drafts arrive than there are slots, and each occupies its slot for
+    ten seconds. Checks of half a second arrive in between.
     """
 
     @pytest.mark.parametrize("gateways", [1, 5])
@@ -36,11 +36,11 @@
 
 
 class TestBurst:
-    """Callers that arrive in one second all wait until all time out.
+    """Guards against a burst of requests that all wait until they time out.
 
-    Three seconds' worth of work arrives at once upon a service at half
-    load. What fits its target is answered, the rest is refused at once with
-    times to come back that are spread.
+    Three seconds' worth of work arrives at once at a service at half load.
+    Requests that can meet their deadline are answered; the others are refused
+    at once, with retry delays that are spread.
     """
 
     def test_part_is_answered_and_the_rest_spread(self):
--- a/test/test_entry.py
+++ b/test/test_entry.py
@@ -1,4 +1,4 @@
-"""Entry lists: few, spread, bounded, and steady as gateways come and go."""
+"""Gateway lists: short, spread over domains, bounded and stable."""
 
 from typing import NamedTuple
 
@@ -38,7 +38,7 @@
 
     @given(st.integers(0, 50))
     def test_first_entries_lie_in_different_domains(self, number):
-        """A workspace is cut off although only one domain was lost."""
+        """Guards against the loss of one domain that cuts off a workspace."""
         entries = assign_entries(make_gateways(9), {f"w{number}": 1.0})
         domains = {
             e.failure_domain for e in entries[f"w{number}"][:MIN_ENTRIES]
@@ -46,10 +46,10 @@
         assert len(domains) == MIN_ENTRIES
 
     def test_large_workspaces_do_not_overload_a_gateway(self):
-        """Callers wait at one gateway while the others are idle.
+        """Guards against callers that wait at one gateway while others idle.
 
-        Two of a hundred workspaces send most, and rank the same gateway
-        first.
+        Two of a hundred workspaces send most of the requests and rank the
+        same gateway first.
         """
         wanted = {f"w{i}": 1.0 for i in range(98)}
         wanted |= {"big0": 100.0, "big1": 50.0}
@@ -59,8 +59,8 @@
             for entry in entries:
                 given[entry.name] += wanted[name] / len(entries)
         mean = sum(given.values()) / len(given)
-        # A list that has run out of domains may go over the bound by one
-        # small workspace's part.
+        # A list for which no domain is left may exceed the bound by the part
+        # of one small workspace.
         assert max(given.values()) <= MAX_WEIGHT_RATIO * mean + 1 / MIN_ENTRIES
 
     @given(st.integers(0, 39))
--- a/test/test_headroom.py
+++ b/test/test_headroom.py
@@ -1,4 +1,4 @@
-"""Headroom, played: accepted work outlives a lost failure domain."""
+"""Headroom in simulation: accepted work survives a lost failure domain."""
 
 import pytest
 from hypothesis import given
@@ -19,11 +19,11 @@
 
 
 class TestLostDomain:
-    """An answer stops in the middle when a zone is reclaimed at the peak.
+    """Guards against answers that stop midway when a zone is reclaimed.
 
-    All slots are in use when one of three failure domains goes, with or
-    without notice. Its requests want slots where none is free, while new
-    requests want them as well.
+    All slots are in use when one of three failure domains is lost, with or
+    without notice. Its requests need slots where none is free, and compete
+    with new requests.
     """
 
     @pytest.mark.parametrize("notice", [True, False])
@@ -37,7 +37,7 @@
         assert max(waits) < 0.2
 
     def test_new_work_gets_what_is_left(self):
-        """Checks are answered again seconds after the loss."""
+        """Checks are answered on time again some seconds after the loss."""
         outcomes = play_lost_domain(0.6, True, 1)
         assert (
             good_part(
--- a/test/test_placement.py
+++ b/test/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of forwarded requests: where prompts wait and are read again."""
+"""Placement of forwarded requests: waits, and repeated prefills."""
 
 from collections import Counter, deque
 from random import Random
@@ -48,54 +48,58 @@
 
 
 class PrefillRunner:
-    """Reads one prompt after the other and keeps the parts it read."""
+    """Fake runner that prefills one prompt at a time and caches its parts."""
 
     def __init__(self, pace: float = PACE) -> None:
         self.pace = pace
         self.free_at = 0.0
-        self.held: set[str] = set()
+        self.cached: set[str] = set()
 
     def take(self, wanted: PlacementRequest, now: float) -> tuple[float, int]:
         unread = 0
         for part in wanted.parts:
-            if part.id not in self.held:
+            if part.id not in self.cached:
                 unread += part.tokens
-        self.held.update(part.id for part in wanted.parts[:-1])
+        self.cached.update(part.id for part in wanted.parts[:-1])
         start = max(now, self.free_at)
         self.free_at = start + unread * self.pace + 0.005
         return self.free_at, unread
 
 
 def play_drafts(gateways: int, slow: float = 1.0, seed: int = 1):
-    """Play 60 s of drafts of 98 sessions; return waits and unread tokens."""
+    """Simulate 60 s of drafts of 98 sessions.
+
+    Returns:
+        Sorted waits in seconds, mean prefilled tokens, requests by runner.
+    """
     rng = Random(seed)
     endpoints = make_runners(4)
-    runners = {each.id: PrefillRunner() for each in endpoints}
+    runners = {endpoint.id: PrefillRunner() for endpoint in endpoints}
     runners["chat-0"].pace *= slow
     placements = [Placement() for _ in range(gateways)]
     waits, read, at = [], 0, Counter()
     finished: deque = deque()
-    now, told = 0.0, 0.0
+    now, reported_at = 0.0, 0.0
     while now < 60.0:
         now += rng.expovariate(12.0)
-        for item in sorted(finished, key=lambda each: each[0]):
+        for item in sorted(finished, key=lambda entry: entry[0]):
             done, sent, placement, choice, wanted = item
             if done <= now:
                 finished.remove(item)
                 placement.note_first_byte(choice, wanted, done - sent, done)
                 placement.note_ended(choice, True)
-        if now - told > 0.4:
-            told = now
-            reports = [each.report() for each in placements]
+        if now - reported_at > 0.4:
+            reported_at = now
+            reports = [sender.report() for sender in placements]
             for own, placement in enumerate(placements):
                 total: dict[str, RunnerWork] = {}
                 for other, report in enumerate(reports):
                     for runner, work in report.items():
                         if other != own:
-                            held = total.get(runner, RunnerWork())
+                            sum_so_far = total.get(runner, RunnerWork())
                             total[runner] = RunnerWork(
-                                held.requests + work.requests,
-                                held.tokens + work.tokens,
+                                sum_so_far.requests + work.requests,
+                                sum_so_far.tokens + work.tokens,
                             )
                 placement.update_from_peers(total)
         wanted = make_draft(f"s{rng.randrange(98)}")
@@ -114,10 +118,11 @@
 class TestPlacement:
     @pytest.mark.parametrize("gateways", [1, 9])
     def test_drafts_go_where_their_session_is(self, gateways):
-        """Drafts of 98 sessions come through nine gateways.
+        """Guards against repeated prefills of the sessions' shared parts.
 
-        Spread by load alone, each runner reads each session's lesson notes
-        anew: 9,200 tokens a draft in place of the 2,900 that are its own.
+        Drafts of 98 sessions arrive through nine gateways. Spread by load
+        alone, each runner prefills each session's lesson notes again: 9,200
+        tokens a draft instead of the 2,900 that are its own.
         """
         waits, read, _ = play_drafts(gateways)
         assert read < 4500
@@ -206,10 +211,11 @@
         )
 
     def test_waits_behind_others_are_not_taken_for_a_slow_runner(self):
-        """Half of the prompts that seem alone wait behind others.
+        """Guards against a biased pace that orders too many runners.
 
-        Taken at their mean the runners seem to be four times as slow, and more
-        as many are ordered.
+        Half of the prompts that seem to run alone wait behind others. By
+        their mean, the runners seem four times slower, and four times as
+        many would be ordered.
         """
         placement = Placement()
         runners = make_runners(1)
@@ -252,7 +258,7 @@
 class TestHomeOrders:
     @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 9))))
     def test_what_is_kept_is_what_would_be_ranked(self, steps):
-        """A session goes on to a runner that has gone or come since."""
+        """Guards against a cached ranking after runners joined or left."""
         orders = RankingCache()
         for count, session in steps:
             runners = tuple(make_runners(count))
@@ -279,10 +285,11 @@
 
 class TestFindHolder:
     def test_a_new_home_copies_from_the_one_before(self):
-        """Runners come and go in droughts, and sessions change their home.
+        """Guards against repeated prefills when sessions change their home.
 
-        Each new home would read 6,300 shared tokens of every session again,
-        while callers of all its other prompts wait.
+        Runners join and leave during shortages. Each new home would prefill
+        6,300 shared tokens of every session again and delay its other
+        prompts.
         """
         runners = make_runners(4)
         for number in range(50):
--- a/test/test_queueing.py
+++ b/test/test_queueing.py
@@ -1,4 +1,4 @@
-"""Queues: fair by weight, complete, and nobody starves."""
+"""Fair queues: fair by weight, complete and free of starvation."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/test/test_quota.py
+++ b/test/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas over several gateways: what callers get and what passes."""
+"""Quotas over several gateways: which requests are admitted or refused."""
 
 from random import Random
 
@@ -12,8 +12,9 @@
 LARGE = Workspace("large", ("k",), rate=35_000, burst=70_000, by_tokens=True)
 HUGE = Workspace("huge", ("k",), rate=350_000, burst=700_000, by_tokens=True)
 NEWS_SECONDS = 0.2
-"""Age of what gateways hear of each other, of which the pause between
-reports is a half and the way there the smaller part of the rest."""
+"""Age of the usage that gateways report to each other. Half of it is the
+interval between reports; the network latency is the smaller part of the
+rest."""
 
 
 def play_hot_workspace(
@@ -24,16 +25,16 @@
     workspace: Workspace = LARGE,
     pause: tuple[float, float] = (0.0, 0.0),
 ) -> list[tuple[float, float]]:
-    """Return time and units of what was let through by all gateways.
+    """Return time and units of the requests that all gateways admitted.
 
-    Each gateway tells the others when it has much to tell, and otherwise
-    every 0.4 s; the news takes some milliseconds. Nobody calls in a pause
-    from one time to another.
+    Each gateway reports to the others at once when it has admitted much, and
+    otherwise every 0.4 s; a report takes some milliseconds. No requests
+    arrive between the two times of ``pause``.
     """
     rng = Random(seed)
     quotas = [Quotas(BOUNDS) for _ in range(gateways)]
-    told = [0.0] * gateways
-    passed = []
+    reported_at = [0.0] * gateways
+    admitted = []
     now = 0.0
     while now < seconds:
         cost = rng.choice([1000.0, 3000.0, 9000.0, 20000.0])
@@ -43,12 +44,12 @@
         number = rng.randrange(gateways)
         quota = quotas[number]
         if quota.take(workspace, cost, 1.0, now, gateways) is None:
-            passed.append((now, cost))
+            admitted.append((now, cost))
         for other, quota in enumerate(quotas):
             wait = 0.1 if quota.needs_publishing(workspace, gateways) else 0.4
-            if now - told[other] < wait:
+            if now - reported_at[other] < wait:
                 continue
-            told[other] = now
+            reported_at[other] = now
             quota.mark_published()
             for receiver in quotas:
                 if receiver is not quota:
@@ -58,57 +59,58 @@
                         quota.list_own_usage(now),
                         now,
                     )
-    return passed
+    return admitted
 
 
-def find_most(passed: list[tuple[float, float]], window: float) -> float:
+def find_most(admitted: list[tuple[float, float]], window: float) -> float:
     return max(
-        sum(u for t, u in passed if start <= t < start + window)
-        for start, _ in passed
+        sum(u for t, u in admitted if start <= t < start + window)
+        for start, _ in admitted
     )
 
 
 class TestQuotas:
     @pytest.mark.parametrize("seed", range(4))
     def test_a_hot_workspace_stays_within_what_is_tolerated(self, seed):
-        """One workspace sends seven times its usual through nine gateways.
+        """Guards against usage that the gateways have not yet reported.
 
-        Each of them lets through what the others have used up already, as
-        it has not heard of it, and the sum passes the tolerated one.
+        One workspace sends seven times its usual load through nine gateways.
+        Each admits units that the others have already used but not reported,
+        and the sum exceeds the tolerance.
         """
-        passed = play_hot_workspace(9, 260_000, 20.0, seed)
+        admitted = play_hot_workspace(9, 260_000, 20.0, seed)
         quota = LARGE.rate * 8 + LARGE.burst
-        most = find_most(passed, 8.0)
+        most = find_most(admitted, 8.0)
         assert most <= quota * 1.1 + 110_000
         assert most >= quota * 0.95
 
     @pytest.mark.parametrize("seed", range(4))
     def test_refused_callers_that_return_at_once_do_not_pass_it(self, seed):
-        """Half of a quota is free again within half a second.
+        """Guards against units that several gateways reuse at once.
 
-        It was used up as fast, and everyone who was refused comes back. Each
-        gateway let through what had become free before it heard that the
-        others did as well.
+        Half of a quota was used within half a second, leaves the window as
+        fast, and all refused callers return. Each gateway would admit the
+        same units before it receives the reports of the others.
         """
         big = LARGE._replace(rate=140_000.0)
-        passed = play_hot_workspace(
+        admitted = play_hot_workspace(
             9, 3_000_000, 10.0, seed, big, pause=(0.6, 8.0)
         )
         quota = big.rate * 8 + big.burst
-        assert find_most(passed, 8.0) <= quota * 1.1 + 110_000
+        assert find_most(admitted, 8.0) <= quota * 1.1 + 110_000
 
     def test_usual_use_is_never_refused(self):
-        passed = play_hot_workspace(9, LARGE.rate, 30.0, 1)
-        total = sum(units for _, units in passed)
+        admitted = play_hot_workspace(9, LARGE.rate, 30.0, 1)
+        total = sum(units for _, units in admitted)
         assert total > 0.9 * LARGE.rate * 30
 
     def test_a_gateway_that_is_cut_off_keeps_to_its_part(self):
         quota = Quotas(BOUNDS)
-        passed = 0.0
+        admitted = 0.0
         for step in range(1000):
             if quota.take(LARGE, 1000.0, 1 / 9, step * 0.008) is None:
-                passed += 1000.0
-        assert passed <= quota.limit(LARGE) / 9
+                admitted += 1000.0
+        assert admitted <= quota.limit(LARGE) / 9
 
     def test_a_refusal_says_when_to_come_back(self):
         quota = Quotas(QuotaBounds(window=8.0, overage=0.0, slack=0.0))
@@ -142,13 +144,14 @@
         assert quota.used["small"] == 8.0
 
     def test_use_before_a_start_is_not_let_through_again(self):
-        """All gateways are killed right after a quota was used up.
+        """Guards against usage that is forgotten in a restart.
 
-        They start within a second and know nothing of it. The whole quota
-        would pass once more within the same window.
+        All gateways are killed right after a quota was used up and restart
+        within a second without its counts. The whole quota would be admitted
+        again within the same window.
         """
         before = Quotas(BOUNDS)
-        passed = sum(
+        admitted = sum(
             1000.0
             for step in range(1000)
             if before.take(LARGE, 1000.0, 1.0, step * 0.005) is None
@@ -156,17 +159,18 @@
         after = Quotas(BOUNDS, started=5.6)
         for step in range(240):
             if after.take(LARGE, 1000.0, 1.0, 5.6 + step * 0.005) is None:
-                passed += 1000.0
+                admitted += 1000.0
         quota = LARGE.rate * 8 + LARGE.burst
-        assert passed <= quota * 1.1 + 110_000
+        assert admitted <= quota * 1.1 + 110_000
         late = after.take(LARGE, 1000.0, 1.0, 20.0)
         assert late is None
 
     def test_a_newcomer_does_not_count_what_was_long_ago(self):
-        """A gateway starts among others that have served for minutes.
+        """Guards against counting a peer's total since its start as recent.
 
-        Their totals since their start are not what they let through within
-        the window; counted as that, it would refuse everything for it.
+        A gateway joins peers that have served for minutes. If their totals
+        counted as usage within the window, it would refuse all requests for
+        the length of a window.
         """
         quota = Quotas(BOUNDS, started=0.0)
         quota.update_from_peers("old", {"large": 1e9}, {"large": 1e4}, 0.5)
@@ -177,10 +181,11 @@
         assert quota.take(LARGE, 9000.0, 1.0, 2.0) is not None
 
     def test_what_a_late_acquaintance_let_through_counts(self):
-        """Two groups of gateways start without knowing of each other.
+        """Guards against usage from before a peer's first report.
 
-        They meet after the first has let most of a quota through. Counted
-        only from their first report on, the other lets it through again.
+        Two groups of gateways start without a connection and connect after
+        the first has admitted most of a quota. If usage counted only from the
+        first report, the other group would admit the quota again.
         """
         quota = Quotas(BOUNDS, started=0.0)
         used = {"large": 0.98 * quota.limit(LARGE)}
@@ -188,12 +193,12 @@
         assert quota.take(LARGE, 9000.0, 1.0, 9.0) is not None
 
     def test_a_burst_that_is_not_recorded_is_bounded(self):
-        """Guards against use that gateways which start can't know of."""
+        """Guards against usage that starting gateways cannot know."""
         quota = Quotas(BOUNDS)
-        passed = 0.0
+        admitted = 0.0
         while quota.take(LARGE, 1000.0, 1.0, 0.0) is None:
-            passed += 1000.0
-        assert passed <= LARGE.burst + 0.3 * 145_000
+            admitted += 1000.0
+        assert admitted <= LARGE.burst + 0.3 * 145_000
         quota.note_recorded("large", 0.0)
         assert quota.take(LARGE, 1000.0, 1.0, 0.1) is None
 
@@ -209,27 +214,27 @@
 
 
 class TestHub:
-    """Quotas of many gateways that hear sums in place of each other."""
+    """Quotas of many gateways that receive a hub's summaries."""
 
     def play(self, gateways: int, rate: float, seed: int) -> float:
-        """Return the most units of one window; reports and sums take time."""
+        """Return the most units of one window, with delayed reports."""
         rng = Random(seed)
         quotas = [Quotas(BOUNDS) for _ in range(gateways)]
         hub = quotas[0]
-        told = [0.0] * gateways
-        summed = 0.0
-        passed: list[tuple[float, float]] = []
+        reported_at = [0.0] * gateways
+        published_at = 0.0
+        admitted: list[tuple[float, float]] = []
         now = 0.0
         while now < 15.0:
             cost = rng.choice([1000.0, 3000.0, 9000.0, 20000.0])
             now += rng.expovariate(rate / cost)
             number = rng.randrange(gateways)
             if quotas[number].take(HUGE, cost, 1.0, now, gateways) is None:
-                passed.append((now, cost))
+                admitted.append((now, cost))
             for other, quota in enumerate(quotas[1:], 1):
                 pause = 0.1 if quota.needs_publishing(HUGE, gateways) else 0.4
-                if now >= told[other] + pause:
-                    told[other] = now
+                if now >= reported_at[other] + pause:
+                    reported_at[other] = now
                     quota.mark_published()
                     hub.update_from_peers(
                         str(other),
@@ -238,24 +243,24 @@
                         now,
                     )
             pause = 0.1 if hub.is_near_limit([HUGE], now) else 0.4
-            if now >= summed + pause:
-                summed = now
+            if now >= published_at + pause:
+                published_at = now
                 taken = hub.list_taken(now)
                 for other, quota in enumerate(quotas[1:], 1):
-                    quota.replace_with_summary(taken, told[other], now)
+                    quota.replace_with_summary(taken, reported_at[other], now)
         window = BOUNDS.window
         return max(
-            sum(cost for at, cost in passed if start <= at < start + window)
-            for start, _ in passed
+            sum(cost for at, cost in admitted if start <= at < start + window)
+            for start, _ in admitted
         )
 
     @pytest.mark.parametrize("gateways", [20, 40])
     def test_a_hot_workspace_stays_within_what_is_tolerated(self, gateways):
-        """A workspace sends seven times its usual through many gateways.
+        """Guards against usage that the hub's summary does not include yet.
 
-        Each hears of the others by sums that are some tenths of a second
-        old; let through meanwhile by all at once, its use would pass what
-        is tolerated.
+        A workspace sends seven times its usual load through many gateways.
+        Each gets summaries that are some tenths of a second old; the units
+        that all admit meanwhile would exceed the tolerance.
         """
         quota = HUGE.rate * BOUNDS.window + HUGE.burst
         most = quota * (1 + BOUNDS.overage) + BOUNDS.slack
@@ -263,7 +268,7 @@
 
     @pytest.mark.parametrize("seed", range(2))
     def test_what_is_within_the_quota_is_let_through(self, seed):
-        """Callers below their quota are not refused for the news' delay."""
+        """Guards against refusals below the quota by delayed reports."""
         quota = HUGE.rate * BOUNDS.window
         assert self.play(20, 0.85 * HUGE.rate, seed) >= 0.75 * quota
 
