--- a/test/test_quota_faults.py
+++ b/test/test_quota_faults.py
@@ -1,4 +1,4 @@
-"""Quotas of a workspace far over its own, while gateways are killed or cut."""
+"""Quotas of an overloading workspace while gateways are killed or cut off."""
 
 from collections.abc import Callable
 from random import Random
@@ -19,20 +19,20 @@
 GATEWAYS = 9
 USUAL = HOT.rate / 1.8
 COSTS = (1_000.0, 3_000.0, 9_000.0, 20_000.0)
-SOON_SECONDS, REPORT_SECONDS = 0.1, 0.4
+URGENT_REPORT_SECONDS, REPORT_SECONDS = 0.1, 0.4
 RESTART_SECONDS = 0.5
 WRITE_SECONDS = 0.03
 
 
-class Passed(NamedTuple):
-    """A request that was let through."""
+class Admitted(NamedTuple):
+    """An admitted request."""
 
     at: float
     units: float
 
 
 class Record(NamedTuple):
-    """A record on its way into the store."""
+    """A record that is being written to the store."""
 
     at: float
     use: list[tuple[float, float]]
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """Gateways that tell each other of their use, some milliseconds late.
+    """Gateways that report their usage to each other, some milliseconds late.
 
     Three of them record bursts in a store, if there is one.
     """
@@ -50,26 +50,28 @@
         self.record: Record | None = None
         self.writing: dict[int, Record] = {}
         self.quotas = [Quotas(BOUNDS) for _ in range(GATEWAYS)]
-        self.told = [0.0] * GATEWAYS
+        self.reported_at = [0.0] * GATEWAYS
         self.runs = [0] * GATEWAYS
         self.up_from = [0.0] * GATEWAYS
 
     def kill(self, numbers: range, now: float, rng: Random) -> None:
-        for each in numbers:
-            self.up_from[each] = now + RESTART_SECONDS + rng.uniform(0.0, 0.3)
-            self.quotas[each] = Quotas(BOUNDS, started=self.up_from[each])
-            self.runs[each] += 1
-            self.writing.pop(each, None)
+        for number in numbers:
+            self.up_from[number] = (
+                now + RESTART_SECONDS + rng.uniform(0.0, 0.3)
+            )
+            self.quotas[number] = Quotas(BOUNDS, started=self.up_from[number])
+            self.runs[number] += 1
+            self.writing.pop(number, None)
             if self.has_store:
-                self.quotas[each].prior_usage.load_records(
-                    self._read(self.up_from[each]), self.up_from[each]
+                self.quotas[number].prior_usage.load_records(
+                    self._read(self.up_from[number]), self.up_from[number]
                 )
 
     def _read(self, now: float) -> UsageByAge:
         if self.record is None:
             return {}
-        passed = now - self.record.at
-        return {"hot": [(age + passed, n) for age, n in self.record.use]}
+        elapsed = now - self.record.at
+        return {"hot": [(age + elapsed, n) for age, n in self.record.use]}
 
     def write(self, now: float) -> None:
         if not self.has_store:
@@ -92,13 +94,13 @@
     def is_up(self, number: int, now: float) -> bool:
         return now >= self.up_from[number]
 
-    def tell(self, now: float) -> None:
+    def report(self, now: float) -> None:
         for one, quota in enumerate(self.quotas):
-            soon = quota.needs_publishing(HOT, GATEWAYS)
-            pause = SOON_SECONDS if soon else REPORT_SECONDS
-            if not self.is_up(one, now) or now - self.told[one] < pause:
+            urgent = quota.needs_publishing(HOT, GATEWAYS)
+            pause = URGENT_REPORT_SECONDS if urgent else REPORT_SECONDS
+            if not self.is_up(one, now) or now - self.reported_at[one] < pause:
                 continue
-            self.told[one] = now
+            self.reported_at[one] = now
             quota.mark_published()
             sender = f"{one}/{self.runs[one]}"
             recent = quota.list_own_usage(now)
@@ -116,20 +118,20 @@
     until: float,
     seed: int,
     has_store: bool = True,
-) -> list[Passed]:
-    """Return what was let through.
+) -> list[Admitted]:
+    """Return the admitted requests.
 
     Args:
-        find_rate: Returns the units a second that are asked for at a time.
-        kill_at: When gateways are killed.
-        numbers: Which ones; they are back half a second later.
-        until: Length of the play in seconds.
-        seed: Of the callers' choices.
+        find_rate: Returns the requested units per second at a time.
+        kill_at: Time at which gateways are killed.
+        numbers: Gateways that are killed; they restart half a second later.
+        until: Length of the simulation in seconds.
+        seed: Seed of the callers' choices.
         has_store: Whether the store answers.
     """
     rng = Random(seed)
     fleet = Fleet(has_store)
-    passed: list[Passed] = []
+    admitted: list[Admitted] = []
     now = 0.0
     killed = False
     while now < until:
@@ -138,31 +140,31 @@
         if now >= kill_at and not killed:
             killed = True
             fleet.kill(numbers, kill_at, rng)
-        fleet.tell(now)
+        fleet.report(now)
         fleet.write(now)
         one = rng.randrange(GATEWAYS)
         if not fleet.is_up(one, now):
             continue
         if fleet.quotas[one].take(HOT, cost, 1.0, now, GATEWAYS) is None:
-            passed.append(Passed(now, cost))
-    return passed
+            admitted.append(Admitted(now, cost))
+    return admitted
 
 
-def find_most(passed: list[Passed]) -> float:
+def find_most(admitted: list[Admitted]) -> float:
     """Return the most units of one window."""
     window = BOUNDS.window
     return max(
-        sum(u for at, u in passed if start <= at < start + window)
-        for start, _ in passed
+        sum(u for at, u in admitted if start <= at < start + window)
+        for start, _ in admitted
     )
 
 
-def count(passed: list[Passed], start: float, end: float) -> float:
-    return sum(units for at, units in passed if start <= at < end)
+def count(admitted: list[Admitted], start: float, end: float) -> float:
+    return sum(units for at, units in admitted if start <= at < end)
 
 
 class TestKilled:
-    """Nobody is left who knows what was let through."""
+    """Restarts after which no running gateway has the earlier counts."""
 
     @pytest.mark.parametrize("seed", range(4))
     @pytest.mark.parametrize("times", [3, 10, 30])
@@ -170,28 +172,28 @@
     def test_a_quota_used_up_right_before_is_not_let_through_again(
         self, seconds: float, times: int, seed: int
     ):
-        """Guards against use before a kill that is taken to be spread evenly.
+        """Guards against assuming that usage before a kill was spread evenly.
 
         All gateways are killed soon after a workspace began to send many
-        times its usual.
+        times its usual load.
         """
 
         def find_rate(now: float) -> float:
             return USUAL * times if now >= 4.0 - seconds else USUAL
 
-        passed = play(find_rate, 4.0, range(GATEWAYS), 20.0, seed)
-        assert find_most(passed) <= TOLERATED
-        assert count(passed, 4.0, 12.5) >= 0.75 * HOT.rate * BOUNDS.window
+        admitted = play(find_rate, 4.0, range(GATEWAYS), 20.0, seed)
+        assert find_most(admitted) <= TOLERATED
+        assert count(admitted, 4.0, 12.5) >= 0.75 * HOT.rate * BOUNDS.window
 
     @pytest.mark.parametrize("seed", range(4))
     def test_usual_use_is_served_after_all_were_killed(self, seed: int):
-        """Guards against refusing all that could have been used before."""
-        passed = play(lambda now: USUAL, 4.0, range(GATEWAYS), 20.0, seed)
+        """Guards against refusals for usage that is only assumed."""
+        admitted = play(lambda now: USUAL, 4.0, range(GATEWAYS), 20.0, seed)
         asked = USUAL * 7.0
-        assert count(passed, 5.0, 12.0) >= 0.75 * asked
+        assert count(admitted, 5.0, 12.0) >= 0.75 * asked
 
     def test_a_gateway_that_starts_and_hears_nobody_yet_has_its_part(self):
-        """Guards against counting what all may have used against one part."""
+        """Guards against charging the usage of all gateways to one gateway."""
         quota = Quotas(BOUNDS, started=0.0)
         quota.prior_usage.load_records({"hot": [(1.0, QUOTA / 2)]}, 0.0)
         costs = [2_000.0, 1_000.0]
@@ -199,22 +201,22 @@
         assert taken == [None, None]
 
     def test_what_others_tell_is_not_added_to_what_was_recorded(self):
-        """Guards against use that counts twice after a planned restart."""
+        """Guards against usage that counts twice after a planned restart."""
         quota = Quotas(BOUNDS, started=8.0)
         quota.prior_usage.load_records({"hot": [(1.0, 0.55 * QUOTA)]}, 8.0)
-        for each in range(GATEWAYS - 1):
+        for peer in range(GATEWAYS - 1):
             recent = {"hot": 0.55 * QUOTA / GATEWAYS}
-            quota.update_from_peers(f"{each}/0", {"hot": QUOTA}, recent, 8.1)
+            quota.update_from_peers(f"{peer}/0", {"hot": QUOTA}, recent, 8.1)
         assert quota.take(HOT, 20_000.0, 1.0, 8.2, GATEWAYS) is None
 
     @pytest.mark.parametrize("seed", range(4))
     def test_usual_use_is_served_by_a_gateway_that_was_killed_alone(
         self, seed: int
     ):
-        """Guards against counting others' use against a newcomer's limit."""
-        passed = play(lambda now: USUAL, 12.0, range(GATEWAYS), 12.0, seed)
+        """Guards against charging the peers' usage to a restarted gateway."""
+        admitted = play(lambda now: USUAL, 12.0, range(GATEWAYS), 12.0, seed)
         whole = play(lambda now: USUAL, 4.0, range(3), 12.0, seed)
-        assert count(whole, 5.0, 12.0) >= 0.9 * count(passed, 5.0, 12.0)
+        assert count(whole, 5.0, 12.0) >= 0.9 * count(admitted, 5.0, 12.0)
 
     @pytest.mark.parametrize("seed", range(4))
     @pytest.mark.parametrize("times", [5, 10, 30])
@@ -227,16 +229,16 @@
             return USUAL * times if now >= 3.0 else USUAL
 
         numbers = range(GATEWAYS)
-        passed = play(find_rate, 4.0, numbers, 20.0, seed, has_store=False)
-        assert find_most(passed) <= TOLERATED
-        assert count(passed, 3.0, 4.0) >= 0.75 * HOT.burst
+        admitted = play(find_rate, 4.0, numbers, 20.0, seed, has_store=False)
+        assert find_most(admitted) <= TOLERATED
+        assert count(admitted, 3.0, 4.0) >= 0.75 * HOT.burst
 
     @pytest.mark.parametrize("seed", range(4))
     def test_a_recorded_burst_is_let_through_whole(self, seed: int):
-        """Guards against refusing callers who come together."""
+        """Guards against refusing callers that coincide."""
 
         def find_rate(now: float) -> float:
             return USUAL * 10 if now >= 8.0 else USUAL / 2
 
-        passed = play(find_rate, 99.0, range(0), 11.0, seed)
-        assert count(passed, 3.0, 11.0) >= 0.95 * QUOTA
+        admitted = play(find_rate, 99.0, range(0), 11.0, seed)
+        assert count(admitted, 3.0, 11.0) >= 0.95 * QUOTA
--- a/test/test_route.py
+++ b/test/test_route.py
@@ -1,4 +1,4 @@
-"""Routes and keys of a configuration."""
+"""Lookup of routes and keys in a configuration."""
 
 from random import Random
 
@@ -45,7 +45,7 @@
 class TestRouteTable:
     @given(st.lists(PREFIXES, unique=True), PATHS)
     def test_the_longest_prefix_that_begins_the_path(self, prefixes, path):
-        fitting = [each for each in prefixes if path.startswith(each)]
+        fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
         found = make_table(prefixes).find_route("h", path)
         expected = max(fitting, key=len) if fitting else None
         assert (found.prefix if found else None) == expected
--- a/test/test_routing.py
+++ b/test/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: version shares and where work may go."""
+"""Routing: version shares, and runners that get no new work."""
 
 from random import Random
 
@@ -31,10 +31,10 @@
 
 
 class TestVersionShare:
-    """A bad new version gets more callers than its ticket allows.
+    """Guards against a new version that gets more than its declared share.
 
-    A new version has a small share. When the runners of the old one are
-    full, a router that takes any free runner sends the rest to the new one.
+    A new version has a small share. When the runners of the old version are
+    full, a router that uses any free runner sends the excess to the new one.
     """
 
     @pytest.mark.parametrize("rate", [10.0, 60.0])
@@ -83,7 +83,10 @@
 
 
 class TestQuarantine:
-    """One request crashes runner after runner, with all beside it."""
+    """Guards against a request that crashes runner after runner.
+
+    Each crash also ends the other requests of the runner.
+    """
 
     def test_suspect_runs_beside_no_other(self):
         player = Player(make_declaration(2, 4))
--- a/test/test_scaling.py
+++ b/test/test_scaling.py
@@ -1,4 +1,4 @@
-"""Orders of runners: prices, reclaims, and what is there meanwhile."""
+"""Orders of runners: prices, reclaims and shortages of spot capacity."""
 
 import math
 
@@ -33,7 +33,7 @@
 
 
 def total(orders, spot):
-    return sum(n for tenure, n in orders.items() if tenure.spot is spot)
+    return sum(n for pool, n in orders.items() if pool.spot is spot)
 
 
 SETTLED = {CapacityPool("a", False): 1} | {
@@ -54,18 +54,19 @@
             for lost in PRICES:
                 left = sum(
                     count
-                    for tenure, count in orders.items()
-                    if not (tenure.spot and tenure.domain == lost)
+                    for pool, count in orders.items()
+                    if not (pool.spot and pool.domain == lost)
                 )
                 assert left >= max(
                     2, math.ceil(busy / MAX_BUSY_SHARE_AFTER_LOSS)
                 )
 
     def test_full_price_takes_the_place_of_what_is_not_to_be_had(self):
-        """All reclaimable runners are announced to go, none are offered.
+        """Guards against a shortage of spot capacity.
 
-        Without others ordered at the notice the last one alone gets all
-        prompts for the rest of the drought.
+        All spot runners get a reclaim notice, and no new ones are available.
+        Unless others are ordered at the notice, the only remaining runner
+        gets all prompts until the shortage ends.
         """
         orders = plan(there={CapacityPool("a", False): 1}, dry=DRY)
         assert total(orders, spot=False) == 3
@@ -85,20 +86,22 @@
         assert plan(there=there)[CapacityPool("a", False)] == 1
 
     def test_in_a_drought_nothing_cheap_is_given_back(self):
-        """Reclaimable runners are sent away while the load is low for a while.
+        """Guards against releasing spot runners that cannot be replaced.
 
-        Half a second later one at full price is ordered for what they did,
-        as none of the others are to be had.
+        During a shortage, spot runners are released in a short period of low
+        load. Half a second later a runner at full price is ordered in their
+        place.
         """
         there = {CapacityPool("a", False): 1, CapacityPool("b", True): 3}
         orders = plan(Demand(0.4), there, dry={"a": 200.0, "c": 200.0})
         assert orders[CapacityPool("b", True)] == 3
 
     def test_a_drought_prepares_for_the_next_reclaim(self):
-        """Domains are reclaimed one after the other, seconds apart.
+        """Guards against reclaims of several domains, seconds apart.
 
-        What replaced the second one was ordered at its notice, and callers
-        of the four seconds of its start-up waited behind each other.
+        If the replacements for the second domain are ordered only at its
+        notice, callers wait behind each other during the four seconds of the
+        start-up.
         """
         busy = 2.2
         there = {CapacityPool("a", False): 1, CapacityPool("b", True): 3}
@@ -107,15 +110,15 @@
         assert left >= math.ceil(busy / MAX_BUSY_SHARE_AFTER_LOSS)
 
     def test_cheap_runners_are_more_than_dear_ones(self):
-        """Drafts are slow beside prompts that are read.
+        """Guards against drafts that are slow beside prefills.
 
-        While reclaimable runners are to be had, so many run that most
-        steps read nothing; at full price only as many as waits need.
+        While spot capacity is available, enough runners run that most steps
+        have no prefill; at full price, only as many as the waits require.
         """
         large = SCALING._replace(max_runners=12)
-        wet = plan(Demand(2.0), scaling=large)
+        with_spot = plan(Demand(2.0), scaling=large)
         dry = plan(Demand(2.0), scaling=large, dry=DRY)
-        assert total(wet, spot=True) == 7
+        assert total(with_spot, spot=True) == 7
         assert total(dry, spot=False) == 4
 
     def test_bounds_of_a_domain_hold(self):
