--- a/lagoonpost/controller/daemon.py
+++ b/lagoonpost/controller/daemon.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from lagoonpost.controller.loop import Controller
-from lagoonpost.controller.order import Orders
+from lagoonpost.controller.order import OrderSender
 from lagoonpost.controller.sweep import SHARD as SWEEP_SHARD
 from lagoonpost.controller.sweep import sweep_ledger
 from lagoonpost.http.client import Client
@@ -37,7 +37,7 @@
         self._client = Client()
         self._store = TableStore(self._client, settings.platform)
         self._declaration = Declaration()
-        self._watch = Watch(self._store, self._declare)
+        self._watch = Watch(self._store, self._apply_declaration)
         self._peers = Peers(
             PeerSettings(
                 name=settings.name,
@@ -47,16 +47,16 @@
                 address=settings.peer_listen,
                 seeds=settings.seeds,
             ),
-            self._learn_facts,
-            self._learn_members,
+            self._handle_facts,
+            self._handle_members,
         )
         shards = [f"{RUNNER_PREFIX}{n}" for n in range(RUNNER_SHARDS)]
         self._controller = Controller(
             self._store,
             settings.name,
             [*shards, SWEEP_SHARD],
-            self._work,
-            self._list_live,
+            self._run_shard,
+            self._list_live_controllers,
         )
 
     async def run(self) -> None:
@@ -78,29 +78,29 @@
             await self._peers.close()
             self._client.close()
 
-    def _declare(self, declaration: Declaration) -> None:
+    def _apply_declaration(self, declaration: Declaration) -> None:
         self._declaration = declaration
 
-    def _learn_facts(self, facts: Sequence[Fact]) -> None:
+    def _handle_facts(self, facts: Sequence[Fact]) -> None:
         for fact in facts:
             if fact.kind == "revision":
                 self._watch.hear(fact.rank)
 
-    def _learn_members(self, members: Sequence[Member]) -> None:
+    def _handle_members(self, members: Sequence[Member]) -> None:
         """Ignore changes: the live members are read when needed."""
 
-    def _list_live(self) -> Collection[str]:
+    def _list_live_controllers(self) -> Collection[str]:
         return [
             member.name
             for member in self._peers.members()
             if member.role == "controller"
         ]
 
-    async def _work(self, shard: str, keeper: LeaseKeeper) -> None:
+    async def _run_shard(self, shard: str, keeper: LeaseKeeper) -> None:
         if shard == SWEEP_SHARD:
             await sweep_ledger(self._store, keeper)
             return
-        orders = Orders(self._client, keeper)
+        orders = OrderSender(self._client, keeper)
         while keeper.is_held():
             # A controller that has not caught up would order runners back
             # to what an earlier declaration wanted.
--- a/lagoonpost/controller/loop.py
+++ b/lagoonpost/controller/loop.py
@@ -56,30 +56,30 @@
         """
         async with asyncio.TaskGroup() as group:
             for shard, keeper in self._keepers.items():
-                group.create_task(self._follow(shard, keeper, stop))
+                group.create_task(self._contend(shard, keeper, stop))
 
-    async def _follow(
+    async def _contend(
         self, shard: str, keeper: LeaseKeeper, stop: asyncio.Event
     ) -> None:
         keeping = asyncio.create_task(keeper.run())
         try:
             while not stop.is_set():
-                keeper.want(*self._choose(shard, None))
+                keeper.want(*self._choose_claim(shard, None))
                 if keeper.is_held():
-                    await self._hold(shard, keeper, stop)
+                    await self._run_while_held(shard, keeper, stop)
                 await _wait(stop)
             await keeper.release()
         finally:
             keeping.cancel()
 
-    async def _hold(
+    async def _run_while_held(
         self, shard: str, keeper: LeaseKeeper, stop: asyncio.Event
     ) -> None:
         """Run the work until the lease ends or is handed over."""
         began = read_clock()
         work = asyncio.ensure_future(self._work(shard, keeper))
         while keeper.is_held() and not stop.is_set() and not work.done():
-            if not self._choose(shard, read_clock() - began).wanted:
+            if not self._choose_claim(shard, read_clock() - began).wanted:
                 break
             await _wait(stop)
         # The work must be over before the lease is given away.
@@ -90,7 +90,7 @@
         if keeper.is_held():
             await keeper.release()
 
-    def _choose(self, shard: str, held: float | None) -> Claim:
+    def _choose_claim(self, shard: str, held: float | None) -> Claim:
         rank = rank_controller(shard, self._name, self._list_live())
         return choose_claim(rank, held, self._policy.duration)
 
--- a/lagoonpost/controller/order.py
+++ b/lagoonpost/controller/order.py
@@ -13,10 +13,10 @@
 from lagoonpost.systems.order import DesiredState, SentOrder, find_due_runners
 from lagoonpost.tables.entity import Runner
 
-AT_ONCE = 16
+MAX_CONCURRENT_ORDERS = 16
 
 
-class Orders:
+class OrderSender:
     """Orders of one shard, repeated until its runners are as wanted.
 
     Args:
@@ -27,7 +27,7 @@
     def __init__(self, client: Client, keeper: LeaseKeeper) -> None:
         self._client = client
         self._keeper = keeper
-        self._given: dict[str, SentOrder] = {}
+        self._last_orders: dict[str, SentOrder] = {}
 
     async def reconcile(
         self, runners: Iterable[Runner], wanted: Mapping[str, DesiredState]
@@ -39,8 +39,10 @@
             wanted: Wanted state by name of the runner.
         """
         fence = self._keeper.fence
-        due = set(find_due_runners(wanted, self._given, fence, read_clock()))
-        slots = asyncio.Semaphore(AT_ONCE)
+        due = set(
+            find_due_runners(wanted, self._last_orders, fence, read_clock())
+        )
+        slots = asyncio.Semaphore(MAX_CONCURRENT_ORDERS)
 
         async def order(runner: Runner) -> None:
             async with slots:
@@ -67,7 +69,7 @@
             )
             call.answered = answer is not None
         confirmed = answer is not None and answer.status == 200
-        self._given[runner.name] = SentOrder(
+        self._last_orders[runner.name] = SentOrder(
             wanted, fence, read_clock(), confirmed
         )
         eliot.log_message(
--- a/lagoonpost/gateway/answer.py
+++ b/lagoonpost/gateway/answer.py
@@ -12,7 +12,7 @@
 from lagoonpost.runners.answer import Completed, Part, RelayedAnswer
 
 
-class Held(NamedTuple):
+class HandedOverRequest(NamedTuple):
     """A request that a leaving gateway handed to this one.
 
     Attributes:
@@ -27,10 +27,10 @@
     workspace: str
     body: dict[str, Any]
     tokens: tuple[str, ...]
-    until: float
+    expires_at: float
 
 
-class Sink(Protocol):
+class AnswerSink(Protocol):
     """Where an answer goes: a stream of events, or one whole response."""
 
     async def write_part(self, part: Part) -> None:
@@ -49,7 +49,7 @@
         """End the answer with a problem."""
 
 
-class WholeAnswer:
+class BufferedAnswerSink:
     """Sink that answers a caller who waits for the whole answer.
 
     Args:
--- a/lagoonpost/gateway/booking.py
+++ b/lagoonpost/gateway/booking.py
@@ -8,7 +8,7 @@
 
 import eliot
 
-from lagoonpost.gateway.booking_answer import make_answer
+from lagoonpost.gateway.booking_answer import make_response
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Headers, Response, parse_address
 from lagoonpost.runners.plain import call_once
@@ -53,7 +53,7 @@
     timeout: float
 
 
-Place = Callable[[str | None, str | None], Awaitable[Runner | Refuse]]
+ChooseRunner = Callable[[str | None, str | None], Awaitable[Runner | Refuse]]
 
 
 class Bookings:
@@ -72,7 +72,7 @@
         self._client = client
         self._rng = rng or Random()
 
-    async def book(self, call: BookingCall, place: Place) -> Response:
+    async def book(self, call: BookingCall, place: ChooseRunner) -> Response:
         """Run ``call`` at most once and return what to tell the caller.
 
         Args:
@@ -84,11 +84,11 @@
         outcome = await self._ledger.take(
             make_row_key(call), make_digest(call), call.timeout, dispatcher
         )
-        answer = make_answer(self._spread(outcome), time.time())
+        answer = make_response(self._add_jitter(outcome), time.time())
         _log(call, dispatcher, outcome, answer)
         return answer
 
-    def _spread(self, outcome: Outcome) -> Outcome:
+    def _add_jitter(self, outcome: Outcome) -> Outcome:
         if outcome != STORE_DOWN:
             return outcome
         # All bookings of an outage would come back in the same second, and
@@ -103,7 +103,7 @@
 
 class _Dispatcher:
     def __init__(
-        self, client: Client, call: BookingCall, place: Place
+        self, client: Client, call: BookingCall, place: ChooseRunner
     ) -> None:
         self._client = client
         self._call = call
--- a/lagoonpost/gateway/booking_answer.py
+++ b/lagoonpost/gateway/booking_answer.py
@@ -16,15 +16,15 @@
 from lagoonpost.tables.ledger import LedgerEntry, RecordedAnswer
 
 # A running call is over within its route's timeout, mostly much sooner.
-RUNNING_SECONDS = 1.0
+IN_PROGRESS_RETRY_SECONDS = 1.0
 # A claim older than that waits for a store outage to end, or its gateway
 # died; asking more often would not help.
-OVERDUE_SECONDS = 30.0
+OVERDUE_RETRY_SECONDS = 30.0
 # Time for a caller to check what was taken before it asks again.
-UNKNOWN_SECONDS = 5.0
+UNKNOWN_RETRY_SECONDS = 5.0
 
 
-def make_answer(outcome: Outcome, wall: float) -> Response:
+def make_response(outcome: Outcome, wall: float) -> Response:
     """Return the response for ``outcome``.
 
     Args:
@@ -61,7 +61,7 @@
             "In progress",
             "A call with this idempotency key is in progress.",
             "unknown",
-            RUNNING_SECONDS,
+            IN_PROGRESS_RETRY_SECONDS,
             "in_progress",
         )
     return make_problem(
@@ -71,7 +71,7 @@
         "known. It is not run again; check with the service whether it took "
         "effect before you use another key.",
         "unknown",
-        OVERDUE_SECONDS,
+        OVERDUE_RETRY_SECONDS,
         "outcome_unknown",
     )
 
@@ -110,7 +110,7 @@
         "Whether the call took effect is not known. Ask again with the same "
         "idempotency key: it does not run twice.",
         "unknown",
-        UNKNOWN_SECONDS,
+        UNKNOWN_RETRY_SECONDS,
         outcome.reason,
     )
 
--- a/lagoonpost/gateway/chat.py
+++ b/lagoonpost/gateway/chat.py
@@ -6,16 +6,20 @@
 
 import msgspec
 
-from lagoonpost.gateway.answer import ActiveAnswer, Sink, WholeAnswer
-from lagoonpost.gateway.generation import Item, generate, make_row
-from lagoonpost.gateway.plain import refuse
+from lagoonpost.gateway.answer import (
+    ActiveAnswer,
+    AnswerSink,
+    BufferedAnswerSink,
+)
+from lagoonpost.gateway.generation import AnswerItem, generate, make_row
+from lagoonpost.gateway.plain import make_refusal
 from lagoonpost.gateway.prompt import (
     ChatCall,
     InvalidCall,
     read_chat_call,
 )
 from lagoonpost.gateway.state import Gateway, find_route, make_request_id
-from lagoonpost.gateway.stream import CallerStream
+from lagoonpost.gateway.stream import StreamingAnswerSink
 from lagoonpost.gateway.token import (
     StreamOrigin,
     StreamPosition,
@@ -29,7 +33,7 @@
 from lagoonpost.tables.entity import Route, Workspace
 
 PATH = "/v1/chat/completions"
-KEEP_ALIVE_TICK = 1.0
+KEEP_ALIVE_CHECK_SECONDS = 1.0
 # A caller whose request crashes runners is told that it is its request.
 _FAILED_STATUSES = {"poison": 422}
 
@@ -95,7 +99,7 @@
 
 def _recall(gateway: Gateway, position: StreamPosition) -> ChatCall | None:
     """Return the call of a moved request, if its gateway handed it over."""
-    held = gateway.held.get(position.origin.request_id)
+    held = gateway.handed_over.get(position.origin.request_id)
     if held is None or held.workspace != position.origin.workspace:
         return None
     call = read_chat_call(msgspec.json.encode(held.body))
@@ -111,7 +115,7 @@
     A caller that sends only its last event id can then go on even when
     the runner is gone as well.
     """
-    held = gateway.held.get(position.origin.request_id)
+    held = gateway.handed_over.get(position.origin.request_id)
     if call.continue_tokens or held is None:
         return call
     if held.workspace != position.origin.workspace:
@@ -213,21 +217,23 @@
     call: ChatCall,
     origin: StreamOrigin,
     responder: Responder,
-) -> Sink:
+) -> AnswerSink:
     key = gateway.signing_key
     if call.stream:
-        return CallerStream(responder, key, origin)
-    return WholeAnswer(responder, key, origin, call.continue_tokens)
+        return StreamingAnswerSink(responder, key, origin)
+    return BufferedAnswerSink(responder, key, origin, call.continue_tokens)
 
 
-async def _keep_alive(sink: Sink) -> None:
+async def _keep_alive(sink: AnswerSink) -> None:
     with suppress(PeerGoneError):
         while True:
-            await asyncio.sleep(KEEP_ALIVE_TICK)
+            await asyncio.sleep(KEEP_ALIVE_CHECK_SECONDS)
             await sink.keep_alive()
 
 
-async def _deliver(gateway: Gateway, item: Item, sink: Sink) -> None:
+async def _deliver(
+    gateway: Gateway, item: AnswerItem, sink: AnswerSink
+) -> None:
     match item:
         case Part():
             gateway.metrics.counts["tokens"] += len(item.tokens)
@@ -248,4 +254,4 @@
                 )
             )
         case Refuse():
-            await sink.fail(refuse(item))
+            await sink.fail(make_refusal(item))
--- a/lagoonpost/gateway/daemon.py
+++ b/lagoonpost/gateway/daemon.py
@@ -10,12 +10,12 @@
 
 from lagoonpost.gateway import server
 from lagoonpost.gateway.booking import Bookings
-from lagoonpost.gateway.departure import move_answers
 from lagoonpost.gateway.entries import EntryLists
 from lagoonpost.gateway.load import LoadPoll
 from lagoonpost.gateway.moves import VersionMoves
 from lagoonpost.gateway.peering import Peering
-from lagoonpost.gateway.reclaim import NoticeWatch, leave_runner
+from lagoonpost.gateway.reclaim import NoticeWatch, mark_runner_leaving
+from lagoonpost.gateway.shutdown import move_answers
 from lagoonpost.gateway.state import Gateway
 from lagoonpost.gateway.tickets import TicketHandlers
 from lagoonpost.http.message import Request
@@ -29,13 +29,13 @@
 from lagoonpost.systems.event import Declared
 from lagoonpost.tables.entity import Declaration
 
-PHASE_SECONDS = 0.1
+PHASE_CHECK_SECONDS = 0.1
 # An exchange takes a second at most, and the third peer asked answers.
-PEER_PATIENCE = 5.0
+PEER_GRACE_SECONDS = 5.0
 # What remains of a notice for the sockets to drain after the last move.
-RECLAIM_MARGIN = 1.0
+RECLAIM_MARGIN_SECONDS = 1.0
 # For callers to read the event that sends them to another entry.
-MOVE_SECONDS = 2.0
+REDIRECT_SECONDS = 2.0
 
 
 class GatewayDaemon:
@@ -51,17 +51,22 @@
         gateway = self._gateway = Gateway(settings)
         store = TableStore(gateway.client, settings.platform)
         self._peering = Peering(settings, gateway)
-        self._watch = Watch(store, self._declare, self._peering.ask_snapshots)
-        self._peering.follow(self._watch)
+        self._watch = Watch(
+            store, self._apply_declaration, self._peering.fetch_snapshots
+        )
+        self._peering.set_watch(self._watch)
         gateway.entries = EntryLists(gateway)
         gateway.bookings = Bookings(
             Ledger(store, settings.name), gateway.client, gateway.rng
         )
         gateway.tickets = TicketHandlers(
-            Intake(store), self._watch, self._peering.publish_ticket
+            Intake(store), self._watch, self._peering.publish_revision
         )
         self._notices = NoticeWatch(
-            gateway, settings.host, self._leave_runner, self._be_reclaimed
+            gateway,
+            settings.host,
+            self._handle_runner_reclaim,
+            self._handle_own_reclaim,
         )
         self._loads = LoadPoll(gateway)
         self._moves = VersionMoves(
@@ -71,11 +76,11 @@
             self._peering.is_current,
         )
         gateway.moves = self._moves
-        self._peering.learn(self._moves.learners)
+        self._peering.add_fact_handlers(self._moves.fact_handlers)
         self._server = Server(self._handle)
         self.address = settings.listen
         self.peer_address = settings.peer_listen
-        self._deaf_since: float | None = None
+        self._facts_stale_since: float | None = None
         self._stop = asyncio.Event()
         self._grace = settings.grace
         self._tasks: list[asyncio.Task[None]] = []
@@ -96,7 +101,7 @@
         self.peer_address = await self._peering.start(entry)
         self._gateway.dispatcher.start()
         self._spawn(self._watch.run())
-        self._spawn(self._follow_phase())
+        self._spawn(self._update_phase())
         self._spawn(self._notices.run())
         self._spawn(self._loads.run())
         self._spawn(self._moves.run())
@@ -111,9 +116,9 @@
         """Return the number of chat requests that run here."""
         return len(self._gateway.answers)
 
-    def count_held(self) -> int:
+    def count_handed_over(self) -> int:
         """Return the number of requests that peers handed over to here."""
-        return len(self._gateway.held)
+        return len(self._gateway.handed_over)
 
     async def leave(self, grace: float) -> None:
         """Take no new requests and end or move the accepted ones.
@@ -132,8 +137,8 @@
         await self._peering.peers.leave()
         await self._server.drain(grace)
         await move_answers(self._gateway, self._peering)
-        await self._server.close(MOVE_SECONDS)
-        await self._gateway.bookings.close(MOVE_SECONDS)
+        await self._server.close(REDIRECT_SECONDS)
+        await self._gateway.bookings.close(REDIRECT_SECONDS)
         await self._peering.peers.close()
         for task in self._tasks:
             task.cancel()
@@ -143,28 +148,32 @@
     async def _handle(self, request: Request, responder: Responder) -> None:
         await server.handle(self._gateway, request, responder)
 
-    def _declare(self, declaration: Declaration) -> None:
+    def _apply_declaration(self, declaration: Declaration) -> None:
         self._gateway.declaration = declaration
-        in_force = self._moves.apply(declaration)
+        in_force = self._moves.apply_shares(declaration)
         self._gateway.dispatcher.notify(Declared(in_force))
 
-    def _leave_runner(self, runner: str, deadline: float) -> None:
-        leave_runner(self._gateway, runner, deadline - time.time())
+    def _handle_runner_reclaim(self, runner: str, deadline: float) -> None:
+        mark_runner_leaving(self._gateway, runner, deadline - time.time())
         self._peering.publish_leaving(runner, deadline)
 
-    def _be_reclaimed(self, deadline: float) -> None:
-        left = deadline - time.time() - RECLAIM_MARGIN - MOVE_SECONDS
+    def _handle_own_reclaim(self, deadline: float) -> None:
+        left = (
+            deadline - time.time() - RECLAIM_MARGIN_SECONDS - REDIRECT_SECONDS
+        )
         self._grace = min(self._grace, max(0.0, left))
         self._stop.set()
 
-    async def _follow_phase(self) -> None:
+    async def _update_phase(self) -> None:
         gateway = self._gateway
         while gateway.phase != "leaving":
-            current = self._watch.is_current() and self._hears_peers()
-            gateway.phase = "serving" if current else _not_serving(gateway)
-            await asyncio.sleep(PHASE_SECONDS)
+            current = self._watch.is_current() and self._may_serve_by_facts()
+            gateway.phase = (
+                "serving" if current else _choose_unready_phase(gateway)
+            )
+            await asyncio.sleep(PHASE_CHECK_SECONDS)
 
-    def _hears_peers(self) -> bool:
+    def _may_serve_by_facts(self) -> bool:
         """Tell whether facts are current, or no peer is there to ask.
 
         A process that was frozen does not know which runners have left and
@@ -174,15 +183,15 @@
         """
         now = asyncio.get_running_loop().time()
         if self._peering.is_current():
-            self._deaf_since = None
+            self._facts_stale_since = None
             return True
-        if self._deaf_since is None:
-            self._deaf_since = now
-        return now - self._deaf_since > PEER_PATIENCE
+        if self._facts_stale_since is None:
+            self._facts_stale_since = now
+        return now - self._facts_stale_since > PEER_GRACE_SECONDS
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
 
 
-def _not_serving(gateway: Gateway) -> Any:
+def _choose_unready_phase(gateway: Gateway) -> Any:
     return "starting" if gateway.phase == "starting" else "stale"
--- a/lagoonpost/gateway/dispatcher.py
+++ b/lagoonpost/gateway/dispatcher.py
@@ -46,7 +46,7 @@
         """Give an event to the decisions and carry out their actions."""
         now = asyncio.get_running_loop().time()
         for action in decide(self.tables, event, now, self._rng):
-            self._settle(action)
+            self._resolve(action)
 
     async def place(self, request: RequestRow) -> Dispatch | Refuse:
         """Ask where a new request goes; waits while it is queued."""
@@ -77,7 +77,7 @@
             await asyncio.sleep(TICK_SECONDS)
             self.notify(Tick())
 
-    def _settle(self, action: Action) -> None:
+    def _resolve(self, action: Action) -> None:
         self._log(action)
         future = self._waiting.get(action.request_id)
         if future is not None and not future.done():
--- a/lagoonpost/gateway/entries.py
+++ b/lagoonpost/gateway/entries.py
@@ -14,7 +14,7 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
-        self._made_of: tuple[tuple[EntryMember, ...], int] | None = None
+        self._inputs: tuple[tuple[EntryMember, ...], int] | None = None
         self._lists: dict[str, tuple[EntryMember, ...]] = {}
 
     def choose(self, workspace: str) -> tuple[EntryMember, ...]:
@@ -22,13 +22,13 @@
         gateway = self._gateway
         members = tuple(sorted(gateway.members()))
         made_of = (members, gateway.declaration.revision)
-        if made_of != self._made_of:
+        if made_of != self._inputs:
             weights = {
                 declared.name: declared.weight
                 for declared in gateway.declaration.workspaces
             }
             self._lists = assign_entries(members, weights)
-            self._made_of = made_of
+            self._inputs = made_of
         known = self._lists.get(workspace)
         return known or tuple(rank_members(members, workspace)[:MIN_ENTRIES])
 
--- a/lagoonpost/gateway/generation.py
+++ b/lagoonpost/gateway/generation.py
@@ -34,10 +34,10 @@
 from lagoonpost.tables.entity import Route, Runner
 from lagoonpost.tables.request import RequestRow
 
-Item = Part | Completed | Failed | Refuse
+AnswerItem = Part | Completed | Failed | Refuse
 
 # A placeholder for tokens that only the caller has; see `generate`.
-UNKNOWN = ""
+UNKNOWN_TOKEN = ""
 
 
 def make_row(origin: StreamOrigin, call: ChatCall, route: Route) -> RequestRow:
@@ -67,7 +67,7 @@
     row: RequestRow,
     position: StreamPosition,
     route: Route,
-) -> AsyncGenerator[Item, None]:
+) -> AsyncGenerator[AnswerItem, None]:
     """Yield an answer's parts from ``position`` on, then how it ended.
 
     A resumed answer goes on at the runner that holds it. If that runner is
@@ -77,7 +77,7 @@
     """
     known = answer.call.continue_tokens
     complete = len(known) >= position.offset
-    tokens = known or (UNKNOWN,) * position.offset
+    tokens = known or (UNKNOWN_TOKEN,) * position.offset
     holder = _find_holder(gateway, position.origin.runner)
     if holder is None and not complete:
         yield Failed("unknown", "lost", 0.0)
@@ -92,13 +92,13 @@
     attempt = Attempt(gateway, row, route)
 
     async def replace(failed: Runner, kind: FailureKind) -> Runner | Refuse:
-        attempt.note_failure(failed, kind)
+        attempt.record_failure(failed, kind)
         if not complete:
             return Refuse(row.id, 410, "lost", 0.0)
         if kind == "lost" and answer.relayed and answer.relayed.reached:
             # Before the request is placed again, for the verdict decides
             # whether it may run beside others, or at all.
-            await gateway.quarantine.note_loss(row, failed)
+            await gateway.quarantine.record_loss(row, failed)
         placed = await gateway.dispatcher.replace(row.id, failed.name, kind)
         attempt.begin()
         return _find_placed(gateway, placed)
@@ -121,9 +121,9 @@
     async with aclosing(answer.relayed.outcomes()) as outcomes:
         async for outcome in outcomes:
             _notify(gateway, row, outcome, answer.relayed.runner)
-            attempt.note(outcome, answer.relayed.runner)
+            attempt.record_outcome(outcome, answer.relayed.runner)
             if isinstance(outcome, Completed):
-                gateway.quarantine.note_completion(row)
+                gateway.quarantine.record_completion(row)
             yield outcome
 
 
--- a/lagoonpost/gateway/load.py
+++ b/lagoonpost/gateway/load.py
@@ -20,7 +20,7 @@
 POLL_SECONDS = 0.25
 TICK_SECONDS = 0.125
 # Engines report with a lag that they do not state.
-REPORT_AGE = 0.2
+REPORT_AGE_SECONDS = 0.2
 
 
 class LoadPoll:
@@ -30,7 +30,7 @@
         self._gateway = gateway
         self._loop = asyncio.get_running_loop()
         self._due: dict[str, float] = {}
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._pending: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -38,7 +38,7 @@
             now = self._loop.time()
             for runner in self._list_runners():
                 # One that hangs is asked once, and holds up no other.
-                waits = runner.name in self._asking
+                waits = runner.name in self._pending
                 if not waits and now >= self._due.get(runner.name, 0.0):
                     self._start(runner)
             await asyncio.sleep(TICK_SECONDS)
@@ -53,16 +53,16 @@
         ]
 
     def _start(self, runner: Runner) -> None:
-        task = asyncio.create_task(self._ask(runner))
-        self._asking[runner.name] = task
-        task.add_done_callback(lambda _: self._asking.pop(runner.name))
+        task = asyncio.create_task(self._fetch(runner))
+        self._pending[runner.name] = task
+        task.add_done_callback(lambda _: self._pending.pop(runner.name))
 
-    async def _ask(self, runner: Runner) -> None:
+    async def _fetch(self, runner: Runner) -> None:
         client = self._gateway.client
         address = parse_address(runner.endpoint)
         now = self._loop.time()
         report = await fetch_load(
-            client, address, runner.name, REPORT_AGE, now
+            client, address, runner.name, REPORT_AGE_SECONDS, now
         )
         self._due[runner.name] = now + POLL_SECONDS
         if report is None:
--- a/lagoonpost/gateway/moves.py
+++ b/lagoonpost/gateway/moves.py
@@ -25,11 +25,11 @@
 
 TICK_SECONDS = 0.25
 # Evidence says nothing any more once its interval is judged.
-EVIDENCE_SECONDS = 30.0
-RECORD_SECONDS = 1.0
+EVIDENCE_TTL_SECONDS = 30.0
+RECORD_INTERVAL_SECONDS = 1.0
 # Failures of one runner within this time are one loss of it: an answer's
 # connection is known to be lost within seconds of the others'.
-LOST_SECONDS = 10.0
+LOSS_WINDOW_SECONDS = 10.0
 STORE_PREFIX = "move/"
 
 
@@ -64,16 +64,16 @@
         self._publish = publish
         self._is_current = is_current
         self._rollouts: dict[str, Rollout] = {}
-        self._rows: dict[str, MoveRow] = {}
-        self._reports: dict[str, list[Report]] = {}
+        self._pending_rows: dict[str, MoveRow] = {}
+        self._pending_reports: dict[str, list[Report]] = {}
         self._shares: dict[str, float] = {}
-        self._recorded: dict[str, str] = {}
-        self._lost: dict[str, float] = {}
-        self._heard = time.time()
-        self.learners: dict[str, Callable[[Fact], None]] = {
-            "move_begun": self._learn_row,
-            "version_tripped": self._learn_row,
-            "move_evidence": self._learn_report,
+        self._recorded_outcomes: dict[str, str] = {}
+        self._lost_at: dict[str, float] = {}
+        self._facts_current_at = time.time()
+        self.fact_handlers: dict[str, Callable[[Fact], None]] = {
+            "move_begun": self._handle_row,
+            "version_tripped": self._handle_row,
+            "move_evidence": self._handle_report,
         }
 
     async def run(self) -> None:
@@ -86,15 +86,15 @@
     async def tick(self, now: float) -> None:
         """Begin, judge and end moves, and put their shares in force."""
         if self._is_current():
-            self._heard = now
-        self._forget_replaced()
+            self._facts_current_at = now
+        self._drop_replaced()
         for move in self._gateway.declaration.moves:
             key = make_key(move)
             if key not in self._rollouts:
                 await self._begin(key, move, now)
             if key in self._rollouts:
-                self._judge(key, now)
-        self._put_in_force(now)
+                self._evaluate(key, now)
+        self._update_shares(now)
 
     async def run_records(self) -> None:
         """Write rows to the store until cancelled.
@@ -105,25 +105,25 @@
         while True:
             for key in tuple(self._rollouts):
                 await self._record(key)
-            await asyncio.sleep(RECORD_SECONDS)
+            await asyncio.sleep(RECORD_INTERVAL_SECONDS)
 
     def share(self, service: str) -> float:
         """Return the new version's present share of a service here."""
         return self._shares.get(service, 0.0)
 
-    def lose(self, runner: str) -> bool:
+    def record_loss(self, runner: str) -> bool:
         """Take in that a runner was lost; True if that is news.
 
         It is news again after ``LOST_SECONDS``, also if requests failed all
         the while: a version that crashes at every start has to be found.
         """
         now = time.time()
-        if now - self._lost.get(runner, 0.0) <= LOST_SECONDS:
+        if now - self._lost_at.get(runner, 0.0) <= LOSS_WINDOW_SECONDS:
             return False
-        self._lost[runner] = now
+        self._lost_at[runner] = now
         return True
 
-    def note(
+    def record_attempt(
         self,
         row: RequestRow,
         runner: Runner,
@@ -134,7 +134,7 @@
     ) -> None:
         """Count how an attempt of a request went."""
         outcome = Outcome(row.route, runner.version, share, failed, slow)
-        for rollout in self._find(row.service):
+        for rollout in self._find_rollouts(row.service):
             rollout.record(outcome, time.time())
 
     def describe(self) -> list[dict[str, Any]]:
@@ -155,7 +155,7 @@
             for rollout in self._rollouts.values()
         ]
 
-    def _forget_replaced(self) -> None:
+    def _drop_replaced(self) -> None:
         """Drop moves that the declaration does not name any more.
 
         A move that was taken back and then replaced by one to another
@@ -165,7 +165,7 @@
         for key in self._rollouts.keys() - declared:
             del self._rollouts[key]
 
-    def _find(self, service: str) -> list[Rollout]:
+    def _find_rollouts(self, service: str) -> list[Rollout]:
         return [
             rollout
             for rollout in self._rollouts.values()
@@ -173,7 +173,7 @@
         ]
 
     async def _begin(self, key: str, move: VersionMove, now: float) -> None:
-        row = self._rows.get(key)
+        row = self._pending_rows.get(key)
         if row is None:
             row = await self._read_row(key)
         if row is None:
@@ -182,11 +182,11 @@
             # Gateways that begin at the same time publish slightly other
             # rows; the larger one holds everywhere.
             self._publish(Fact("move_begun", key, 1, body))
-            row = self._rows.get(key, row)
+            row = self._pending_rows.get(key, row)
         service = self._gateway.find_service(move.service)
         routes = len(service.routes) if service else 1
         self._rollouts[key] = Rollout(row, routes)
-        for report in self._reports.pop(key, ()):
+        for report in self._pending_reports.pop(key, ()):
             self._rollouts[key].add_report(report)
         self._log(row)
 
@@ -197,7 +197,7 @@
         reason = f"too near; the earliest time is {begun.earliest:.0f}"
         return MoveRow(move, now, now, "taken_back", reason, now)
 
-    def _judge(self, key: str, now: float) -> None:
+    def _evaluate(self, key: str, now: float) -> None:
         rollout = self._rollouts[key]
         if rollout.row.outcome != "moving":
             return
@@ -205,17 +205,17 @@
         for report in rollout.close_intervals(name, now):
             fact_key = f"{key}/{report.interval}/{name}"
             body = msgspec.msgpack.encode(report)
-            end = now + EVIDENCE_SECONDS
+            end = now + EVIDENCE_TTL_SECONDS
             self._publish(Fact("move_evidence", fact_key, 1, body, end))
         if rollout.evaluate(now):
-            self._trip(key, rollout.describe_evidence(), now)
+            self._roll_back(key, rollout.describe_evidence(), now)
         elif not self._has_runner(rollout.row.move):
-            self._trip(key, "no runner serves the new version", now)
+            self._roll_back(key, "no runner serves the new version", now)
         elif finish_move(rollout.row, now) != rollout.row:
             rollout.row = finish_move(rollout.row, now)
             self._log(rollout.row)
 
-    def _trip(self, key: str, reason: str, now: float) -> None:
+    def _roll_back(self, key: str, reason: str, now: float) -> None:
         row = self._rollouts[key].roll_back(reason, now)
         body = msgspec.msgpack.encode(row)
         self._publish(Fact("version_tripped", key, 1, body))
@@ -229,13 +229,13 @@
             for runner in self._gateway.declaration.runners
         )
 
-    def _learn_row(self, fact: Fact) -> None:
+    def _handle_row(self, fact: Fact) -> None:
         row = msgspec.msgpack.decode(fact.body, type=MoveRow)
         rollout = self._rollouts.get(fact.key)
         if rollout is None:
-            known = self._rows.get(fact.key)
+            known = self._pending_rows.get(fact.key)
             if known is None or known.outcome == "moving":
-                self._rows[fact.key] = row
+                self._pending_rows[fact.key] = row
             return
         if fact.kind == "move_begun":
             # Two gateways began at once: all climb by the same row.
@@ -243,31 +243,31 @@
                 rollout.row = row
         elif rollout.merge(row):
             self._log(rollout.row)
-        self._put_in_force(time.time())
+        self._update_shares(time.time())
 
-    def _learn_report(self, fact: Fact) -> None:
+    def _handle_report(self, fact: Fact) -> None:
         report = msgspec.msgpack.decode(fact.body, type=Report)
         service, ticket, _ = fact.key.split("/", 2)
         key = f"{service}/{ticket}"
         if key in self._rollouts:
             self._rollouts[key].add_report(report)
         else:
-            self._reports.setdefault(key, []).append(report)
+            self._pending_reports.setdefault(key, []).append(report)
 
-    def _put_in_force(self, now: float) -> None:
+    def _update_shares(self, now: float) -> None:
         """Give the decisions the shares as of now, if they changed."""
         shares = {
-            rollout.row.move.service: self._compute(rollout.row, now)
+            rollout.row.move.service: self._compute_share(rollout.row, now)
             for rollout in self._rollouts.values()
         }
         if shares == self._shares:
             return
         self._shares = shares
         self._gateway.dispatcher.notify(
-            Declared(self.apply(self._gateway.declaration))
+            Declared(self.apply_shares(self._gateway.declaration))
         )
 
-    def apply(self, declaration: Declaration) -> Declaration:
+    def apply_shares(self, declaration: Declaration) -> Declaration:
         """Return the declaration with the shares of the moves under way."""
         wanted: dict[tuple[str, str], float] = {}
         for rollout in self._rollouts.values():
@@ -285,10 +285,10 @@
         )
         return declaration._replace(versions=versions)
 
-    def _compute(self, row: MoveRow, now: float) -> float:
+    def _compute_share(self, row: MoveRow, now: float) -> float:
         names = [member.name for member in self._gateway.members()]
         me = self._gateway.settings.name
-        heard = self._heard if len(names) > 1 else now
+        heard = self._facts_current_at if len(names) > 1 else now
         return compute_share(row, me, names or [me], now, heard)
 
     async def _read_row(self, key: str) -> MoveRow | None:
@@ -300,7 +300,7 @@
     async def _record(self, key: str) -> None:
         """Write a move's row at its beginning and its end."""
         row = self._rollouts[key].row
-        if self._recorded.get(key) == row.outcome:
+        if self._recorded_outcomes.get(key) == row.outcome:
             return
         found = await self._store.read([STORE_PREFIX + key])
         if isinstance(found, Unavailable):
@@ -308,7 +308,7 @@
         if found[0].value is not None:
             kept = msgspec.convert(found[0].value, type=MoveRow)
             if kept.outcome == row.outcome:
-                self._recorded[key] = row.outcome
+                self._recorded_outcomes[key] = row.outcome
                 return
         condition = Condition(STORE_PREFIX + key, found[0].version)
         write = Write(STORE_PREFIX + key, msgspec.to_builtins(row))
--- a/lagoonpost/gateway/peering.py
+++ b/lagoonpost/gateway/peering.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from lagoonpost.gateway.answer import Held
-from lagoonpost.gateway.quarantine import QuarantineDesk
-from lagoonpost.gateway.reclaim import leave_runner
+from lagoonpost.gateway.answer import HandedOverRequest
+from lagoonpost.gateway.quarantine import QuarantineTracker
+from lagoonpost.gateway.reclaim import mark_runner_leaving
 from lagoonpost.gateway.state import EntryMember, Gateway
 from lagoonpost.http.message import Address
 from lagoonpost.peers.message import Document, HandOver
@@ -23,12 +23,12 @@
 SNAPSHOT = "snapshot"
 # Peers asked for a snapshot: one that is dead and one that is behind still
 # leave one that knows.
-ASKED = 3
+MAX_SNAPSHOT_PEERS = 3
 # Less than the watch waits for all of them: one silent peer must not cost
 # the answers of the others.
-ASK_SECONDS = 0.8 * PEER_SECONDS
-LEAVING_SECONDS = 3600.0
-HELD_SECONDS = 600.0
+FETCH_TIMEOUT_SECONDS = 0.8 * PEER_SECONDS
+LEAVING_TTL_SECONDS = 3600.0
+HANDED_OVER_TTL_SECONDS = 600.0
 
 
 class Peering:
@@ -40,15 +40,15 @@
         self._watch: Watch | None = None
         self.peers: Peers
         self._accepted_by = ""
-        gateway.quarantine = QuarantineDesk(gateway, self.publish)
-        self._learners: dict[str, Callable[[Fact], None]] = {
-            "crash_seen": gateway.quarantine.learn,
-            "poison_verdict": gateway.quarantine.learn,
-            "revision": self._learn_revision,
-            "runner_leaving": self._learn_leaving,
+        gateway.quarantine = QuarantineTracker(gateway, self.publish)
+        self._fact_handlers: dict[str, Callable[[Fact], None]] = {
+            "crash_seen": gateway.quarantine.handle_fact,
+            "poison_verdict": gateway.quarantine.handle_fact,
+            "revision": self._handle_revision,
+            "runner_leaving": self._handle_runner_leaving,
         }
 
-    def follow(self, watch: Watch) -> None:
+    def set_watch(self, watch: Watch) -> None:
         """Tell ``watch`` of newer revisions from now on."""
         self._watch = watch
 
@@ -65,10 +65,10 @@
                 seeds=settings.seeds,
                 entry=entry,
             ),
-            self._learn_facts,
-            self._learn_members,
-            self._give_documents,
-            self._take_over,
+            self._handle_facts,
+            self._handle_members,
+            self._list_documents,
+            self._accept_hand_over,
         )
         address = await self.peers.start()
         self._gateway.members = self.list_entries
@@ -82,11 +82,13 @@
         """Return whether the facts here are as new as the others'."""
         return self.peers.current()
 
-    def learn(self, learners: Mapping[str, Callable[[Fact], None]]) -> None:
+    def add_fact_handlers(
+        self, learners: Mapping[str, Callable[[Fact], None]]
+    ) -> None:
         """Have facts of more kinds told to ``learners``."""
-        self._learners.update(learners)
+        self._fact_handlers.update(learners)
 
-    def publish_ticket(self, record: TicketRecord) -> None:
+    def publish_revision(self, record: TicketRecord) -> None:
         """Tell all that a newer declaration was accepted here."""
         name = self.peers.me.name.encode()
         self.peers.publish(Fact("revision", "", record.revision, name))
@@ -94,7 +96,7 @@
     def publish_leaving(self, runner: str, deadline: float) -> None:
         """Tell all that a runner will go at ``deadline`` of the epoch."""
         body = msgspec.msgpack.encode(deadline)
-        end = deadline + LEAVING_SECONDS
+        end = deadline + LEAVING_TTL_SECONDS
         self.peers.publish(Fact("runner_leaving", runner, 1, body, end))
 
     def list_entries(self) -> tuple[EntryMember, ...]:
@@ -114,12 +116,14 @@
             if row.role == "gateway" and row.name != me
         ]
 
-    async def ask_snapshots(self) -> Sequence[Snapshot]:
+    async def fetch_snapshots(self) -> Sequence[Snapshot]:
         """Return the declarations that a few peers have in force."""
         others = self.list_others()
         self._gateway.rng.shuffle(others)
         others.sort(key=lambda row: row.name != self._accepted_by)
-        asked = [self._fetch_snapshot(row) for row in others[:ASKED]]
+        asked = [
+            self._fetch_snapshot(row) for row in others[:MAX_SNAPSHOT_PEERS]
+        ]
         found = await asyncio.gather(*asked)
         return [snapshot for snapshot in found if snapshot is not None]
 
@@ -134,7 +138,7 @@
 
     async def _fetch_snapshot(self, member: Member) -> Snapshot | None:
         try:
-            async with asyncio.timeout(ASK_SECONDS):
+            async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
                 found = await self.peers.fetch(member, SNAPSHOT, -1)
         except TimeoutError:
             return None
@@ -142,7 +146,7 @@
             return None
         return msgspec.msgpack.decode(found[-1].body, type=Snapshot)
 
-    def _give_documents(self, kind: str, after: int) -> Sequence[Document]:
+    def _list_documents(self, kind: str, after: int) -> Sequence[Document]:
         snapshot = self._watch.answer_peer() if self._watch else None
         if kind != SNAPSHOT or snapshot is None:
             return ()
@@ -151,37 +155,37 @@
         body = msgspec.msgpack.encode(snapshot)
         return (Document(snapshot.revision, body),)
 
-    async def _take_over(self, request: HandOver) -> bool:
+    async def _accept_hand_over(self, request: HandOver) -> bool:
         if self._gateway.phase != "serving":
             return False
         now = asyncio.get_running_loop().time()
-        held = self._gateway.held
-        for request_id in [key for key in held if held[key].until < now]:
+        held = self._gateway.handed_over
+        for request_id in [key for key in held if held[key].expires_at < now]:
             del held[request_id]
-        held[request.request_id] = Held(
+        held[request.request_id] = HandedOverRequest(
             request.service,
             request.workspace,
             msgspec.json.decode(request.body),
             request.tokens,
-            now + HELD_SECONDS,
+            now + HANDED_OVER_TTL_SECONDS,
         )
         return True
 
-    def _learn_facts(self, facts: Sequence[Fact]) -> None:
+    def _handle_facts(self, facts: Sequence[Fact]) -> None:
         for fact in facts:
-            learner = self._learners.get(fact.kind)
+            learner = self._fact_handlers.get(fact.kind)
             if learner is not None:
                 learner(fact)
 
-    def _learn_revision(self, fact: Fact) -> None:
+    def _handle_revision(self, fact: Fact) -> None:
         self._accepted_by = fact.body.decode()
         if self._watch is not None:
             self._watch.hear(fact.rank)
 
-    def _learn_leaving(self, fact: Fact) -> None:
+    def _handle_runner_leaving(self, fact: Fact) -> None:
         deadline = msgspec.msgpack.decode(fact.body, type=float)
-        leave_runner(self._gateway, fact.key, deadline - time.time())
+        mark_runner_leaving(self._gateway, fact.key, deadline - time.time())
 
-    def _learn_members(self, members: Sequence[Member]) -> None:
+    def _handle_members(self, members: Sequence[Member]) -> None:
         count = max(1, len(self.list_entries()))
         self._gateway.dispatcher.notify(GatewaysChanged(count))
--- a/lagoonpost/gateway/plain.py
+++ b/lagoonpost/gateway/plain.py
@@ -30,10 +30,10 @@
 
 PREFIX = "/v1/services/"
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-PASSED_HEADERS = frozenset({"content-type", "accept", "accept-language"})
+FORWARDED_HEADERS = frozenset({"content-type", "accept", "accept-language"})
 # Part of a route's timeout that one runner has for a call that may be
 # repeated.
-TRY_PART = 1 / 3
+ATTEMPT_TIMEOUT_RATIO = 1 / 3
 
 
 async def call_plain(
@@ -92,7 +92,7 @@
     target: str,
 ) -> Response:
     until = row.arrived + route.timeout
-    tried = _Tried()
+    tried = _AttemptResults()
     placed = await gateway.dispatcher.place(row)
     attempt = Attempt(gateway, row, route)
     while isinstance(placed, Dispatch):
@@ -101,24 +101,26 @@
         if runner is None or left <= 0:
             failed = AttemptFailed(row.id, placed.runner, "lost", retry=False)
             gateway.dispatcher.notify(failed)
-            return tried.give_up(Refuse(row.id, 504, "timeout", 1.0))
+            return tried.make_final_response(
+                Refuse(row.id, 504, "timeout", 1.0)
+            )
         # A frozen runner would use up the whole time; a third of it leaves
         # two more runners to ask, and is long beside the target.
-        timeout = min(left, route.timeout * TRY_PART)
+        timeout = min(left, route.timeout * ATTEMPT_TIMEOUT_RATIO)
         kind = await _try_runner(
             gateway, runner, row, request, target, timeout, tried
         )
         if kind is None:
-            attempt.note_answer(runner)
+            attempt.record_answer(runner)
             gateway.dispatcher.notify(Finished(row.id, runner.name, 1))
             return tried.answer
-        attempt.note_failure(runner, kind)
+        attempt.record_failure(runner, kind)
         attempt.begin()
         placed = await gateway.dispatcher.replace(row.id, runner.name, kind)
-    return tried.give_up(placed)
+    return tried.make_final_response(placed)
 
 
-class _Tried:
+class _AttemptResults:
     """What came of a call's attempts so far.
 
     Attributes:
@@ -130,12 +132,14 @@
         self.answer = Response(0)
         self.may_have_run = False
 
-    def give_up(self, refusal: Refuse) -> Response:
+    def make_final_response(self, refusal: Refuse) -> Response:
         """Return what to tell the caller when no attempt is left."""
         if self.answer.status:
             # The service's own words on its failure say more than ours.
             return self.answer
-        return refuse(refusal, "unknown" if self.may_have_run else "not_run")
+        return make_refusal(
+            refusal, "unknown" if self.may_have_run else "not_run"
+        )
 
 
 async def _try_runner(
@@ -145,7 +149,7 @@
     request: Request,
     target: str,
     timeout: float,
-    tried: _Tried,
+    tried: _AttemptResults,
 ) -> str | None:
     """Call one runner; return the kind of its failure, or None."""
     try:
@@ -154,7 +158,7 @@
             request.method,
             target,
             request.body,
-            pass_headers(request, row.id),
+            select_forwarded_headers(request, row.id),
             timeout=timeout,
         )
     except CallFailedError as error:
@@ -164,7 +168,7 @@
         return "refused"
     tried.may_have_run = True
     tried.answer = Response(
-        answer.status, _answer_headers(answer), answer.body
+        answer.status, _make_response_headers(answer), answer.body
     )
     return "failed" if answer.status >= 500 else None
 
@@ -202,39 +206,44 @@
         key=request.header("idempotency-key"),
         method=request.method,
         path=target,
-        headers=(*pass_headers(request, row.id), *_pass_key(row, request)),
+        headers=(
+            *select_forwarded_headers(request, row.id),
+            *_make_key_header(row, request),
+        ),
         body=request.body,
         service=row.service,
         timeout=route.timeout,
     )
     answer = await gateway.bookings.book(call, place)
     if used is not None:
-        _note_booking(attempt, used, answer)
+        _record_booking(attempt, used, answer)
     gateway.dispatcher.notify(Finished(row.id, used.name if used else "", 1))
-    return Response(answer.status, _answer_headers(answer), answer.body)
+    return Response(answer.status, _make_response_headers(answer), answer.body)
 
 
-def _note_booking(attempt: Attempt, runner: Runner, answer: Response) -> None:
+def _record_booking(
+    attempt: Attempt, runner: Runner, answer: Response
+) -> None:
     # A problem of ours about a call that may have run is the runner's fault;
     # one about a call that was not run says nothing of it.
     execution = read_execution(answer.headers, answer.body)
     if execution == "unknown":
-        attempt.note_failure(runner, "failed")
+        attempt.record_failure(runner, "failed")
     elif execution is None:
-        attempt.note_answer(runner)
+        attempt.record_answer(runner)
 
 
-def pass_headers(request: Request, request_id: str) -> Headers:
+def select_forwarded_headers(request: Request, request_id: str) -> Headers:
     """Return the headers that a runner gets of the caller's."""
     kept = tuple(
         (name, value)
         for name, value in request.headers
-        if name in PASSED_HEADERS
+        if name in FORWARDED_HEADERS
     )
     return (*kept, ("x-request-id", request_id))
 
 
-def _pass_key(row: RequestRow, request: Request) -> Headers:
+def _make_key_header(row: RequestRow, request: Request) -> Headers:
     key = request.header("idempotency-key")
     if key is None:
         return ()
@@ -243,14 +252,14 @@
     return (("idempotency-key", f"{row.workspace}/{key}"),)
 
 
-def _answer_headers(answer: Response) -> Headers:
+def _make_response_headers(answer: Response) -> Headers:
     kept = drop_connection_headers(answer.headers)
     # A check that some cache on the way kept would tell the caller
     # yesterday's date, so no answer may be kept.
     return (*kept, ("cache-control", "no-store"))
 
 
-def refuse(action: Refuse, execution: Execution = "not_run") -> Response:
+def make_refusal(action: Refuse, execution: Execution = "not_run") -> Response:
     """Return the answer to a request that the decisions refused.
 
     Args:
--- a/lagoonpost/gateway/prompt.py
+++ b/lagoonpost/gateway/prompt.py
@@ -8,10 +8,10 @@
 # The engines do not say how they split text. Four bytes a token is the
 # usual figure for Latin scripts; admission needs proportions, not counts.
 BYTES_PER_TOKEN = 4
-PREFIX_BLOCK = 64
-PREFIX_BYTES = PREFIX_BLOCK * BYTES_PER_TOKEN
+PREFIX_BLOCK_TOKENS = 64
+PREFIX_BLOCK_BYTES = PREFIX_BLOCK_TOKENS * BYTES_PER_TOKEN
 # Longer prompts are told apart well enough by their first 16,384 tokens.
-MAX_BLOCKS = 256
+MAX_PREFIX_BLOCKS = 256
 DEFAULT_OUTPUT_TOKENS = 256
 MAX_OUTPUT_TOKENS = 32768
 
@@ -44,7 +44,7 @@
     detail: str
 
 
-class _Shape(msgspec.Struct):
+class _ChatRequest(msgspec.Struct):
     model: str
     messages: list[dict[str, Any]]
     stream: bool = False
@@ -55,7 +55,7 @@
 def read_chat_call(body: bytes) -> ChatCall | InvalidCall:
     """Check and read the body of a chat-completions request."""
     try:
-        shape = msgspec.json.decode(body, type=_Shape)
+        shape = msgspec.json.decode(body, type=_ChatRequest)
         whole = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return InvalidCall(str(error))
@@ -86,9 +86,12 @@
     """
     state = xxhash.xxh3_64(service.encode())
     hashes = []
-    end = min(len(prompt) // PREFIX_BYTES, MAX_BLOCKS) * PREFIX_BYTES
-    for start in range(0, end, PREFIX_BYTES):
-        state.update(prompt[start : start + PREFIX_BYTES])
+    end = (
+        min(len(prompt) // PREFIX_BLOCK_BYTES, MAX_PREFIX_BLOCKS)
+        * PREFIX_BLOCK_BYTES
+    )
+    for start in range(0, end, PREFIX_BLOCK_BYTES):
+        state.update(prompt[start : start + PREFIX_BLOCK_BYTES])
         hashes.append(state.intdigest())
     return tuple(hashes)
 
--- a/lagoonpost/gateway/quarantine.py
+++ b/lagoonpost/gateway/quarantine.py
@@ -15,16 +15,16 @@
 from lagoonpost.tables.request import RequestRow
 
 # Longer than a caller goes on resending, and a bound on what is held.
-KEEP_SECONDS = 24 * 3600.0
+EVIDENCE_TTL_SECONDS = 24 * 3600.0
 # Twenty times the time that a fact takes to all gateways (10 to 25 ms over
 # loopback); the connections of a dead process are closed in no time.
 SETTLE_SECONDS = 0.5
-CLOCK_SLACK = 0.01
+CLOCK_SLACK_SECONDS = 0.01
 # A conviction outranks each time, in milliseconds, of a completion.
-_CONVICTED = 2**62
+_CONVICTION_RANK = 2**62
 
 
-class QuarantineDesk:
+class QuarantineTracker:
     """One gateway's evidence on requests that crash runners.
 
     Args:
@@ -37,11 +37,11 @@
     ) -> None:
         self._gateway = gateway
         self._publish = publish
-        self._cases: dict[str, Quarantine] = {}
+        self._quarantines: dict[str, Quarantine] = {}
         self._verdicts: dict[str, dict[str, str]] = {}
-        self._accused: dict[str, float] = {}
+        self._unsettled_since: dict[str, float] = {}
 
-    async def note_loss(self, row: RequestRow, runner: Runner) -> None:
+    async def record_loss(self, row: RequestRow, runner: Runner) -> None:
         """Take in that a runner was lost under a request.
 
         Returns when the verdict on the request stands.
@@ -50,47 +50,49 @@
         if self._gateway.is_leaving(runner.name):
             return
         now = time.time()
-        beside = self._count_beside(row, runner)
+        beside = self._count_concurrent(row, runner)
         loss = Loss(row.fingerprint, runner.name, runner.version, now, beside)
-        if not self._find_case(row.service).add(loss):
+        if not self._get_quarantine(row.service).add(loss):
             return
         key = f"{row.service}/{row.fingerprint}/{runner.name}"
         body = msgspec.msgpack.encode(loss)
-        self._publish(Fact("crash_seen", key, 1, body, now + KEEP_SECONDS))
-        self._apply(row.service)
-        if row.fingerprint in self._accused:
+        self._publish(
+            Fact("crash_seen", key, 1, body, now + EVIDENCE_TTL_SECONDS)
+        )
+        self._update_verdicts(row.service)
+        if row.fingerprint in self._unsettled_since:
             await asyncio.sleep(SETTLE_SECONDS)
-            self._apply(row.service)
+            self._update_verdicts(row.service)
 
-    def note_completion(self, row: RequestRow) -> None:
+    def record_completion(self, row: RequestRow) -> None:
         """Take in that a request completed."""
-        case = self._cases.get(row.service)
+        case = self._quarantines.get(row.service)
         if case is None or not case.is_suspect(row.fingerprint):
             return
         now = time.time()
         case.record_completion(row.fingerprint, now)
         key = f"{row.service}/{row.fingerprint}"
         rank = int(now * 1000)
-        end = now + KEEP_SECONDS
+        end = now + EVIDENCE_TTL_SECONDS
         self._publish(Fact("poison_verdict", key, rank, b"", end))
-        self._apply(row.service)
+        self._update_verdicts(row.service)
 
-    def learn(self, fact: Fact) -> None:
+    def handle_fact(self, fact: Fact) -> None:
         """Take in what another gateway saw."""
         service, fingerprint, *_ = fact.key.split("/")
-        case = self._find_case(service)
+        case = self._get_quarantine(service)
         if fact.kind == "crash_seen":
             case.add(msgspec.msgpack.decode(fact.body, type=Loss))
-        elif fact.rank == _CONVICTED:
+        elif fact.rank == _CONVICTION_RANK:
             case.record_conviction(fingerprint)
         else:
             case.record_completion(fingerprint, fact.rank / 1000)
-        self._apply(service)
+        self._update_verdicts(service)
 
-    def _find_case(self, service: str) -> Quarantine:
-        return self._cases.setdefault(service, Quarantine())
+    def _get_quarantine(self, service: str) -> Quarantine:
+        return self._quarantines.setdefault(service, Quarantine())
 
-    def _count_beside(self, row: RequestRow, runner: Runner) -> int:
+    def _count_concurrent(self, row: RequestRow, runner: Runner) -> int:
         pool = self._gateway.dispatcher.tables.pools.get(row.service)
         flights = pool.flights.items() if pool else ()
         return sum(
@@ -98,10 +100,10 @@
             for request_id, flight in flights
         )
 
-    def _apply(self, service: str) -> None:
+    def _update_verdicts(self, service: str) -> None:
         """Tell the decisions which verdicts have changed."""
-        case = self._cases[service]
-        case.expire(time.time() - KEEP_SECONDS)
+        case = self._quarantines[service]
+        case.expire(time.time() - EVIDENCE_TTL_SECONDS)
         serving = {
             version.name
             for version in self._gateway.declaration.versions
@@ -111,22 +113,22 @@
         after = dict[str, str](case.compute_verdicts(serving))
         for fingerprint in before.keys() | after.keys():
             if after.get(fingerprint) != "refused":
-                self._accused.pop(fingerprint, None)
-            elif not self._stands(service, fingerprint):
+                self._unsettled_since.pop(fingerprint, None)
+            elif not self._is_settled(service, fingerprint):
                 after[fingerprint] = "alone"
         self._verdicts[service] = after
         for fingerprint in before.keys() | after.keys():
             verdict = after.get(fingerprint, "free")
             if verdict == before.get(fingerprint, "free"):
                 continue
-            self._tell(
+            self._publish_verdict(
                 service,
                 fingerprint,
                 verdict,
                 case.find_versions_to_avoid(fingerprint),
             )
 
-    def _stands(self, service: str, fingerprint: str) -> bool:
+    def _is_settled(self, service: str, fingerprint: str) -> bool:
         """Tell whether a conviction is old enough to be pronounced.
 
         Two suspects on one runner, each sent by another gateway, both look
@@ -135,17 +137,17 @@
         """
         if self._verdicts.get(service, {}).get(fingerprint) == "refused":
             return True
-        if self._cases[service].is_convicted(fingerprint):
+        if self._quarantines[service].is_convicted(fingerprint):
             return True
         loop = asyncio.get_running_loop()
-        since = self._accused.get(fingerprint)
+        since = self._unsettled_since.get(fingerprint)
         if since is None:
-            self._accused[fingerprint] = loop.time()
-            loop.call_later(SETTLE_SECONDS, self._apply, service)
+            self._unsettled_since[fingerprint] = loop.time()
+            loop.call_later(SETTLE_SECONDS, self._update_verdicts, service)
             return False
-        return loop.time() - since >= SETTLE_SECONDS - CLOCK_SLACK
+        return loop.time() - since >= SETTLE_SECONDS - CLOCK_SLACK_SECONDS
 
-    def _tell(
+    def _publish_verdict(
         self,
         service: str,
         fingerprint: str,
@@ -162,13 +164,13 @@
             Quarantined(fingerprint, verdict, avoid)
         )
         if verdict == "refused":
-            self._accused.pop(fingerprint, None)
-            self._cases[service].record_conviction(fingerprint)
+            self._unsettled_since.pop(fingerprint, None)
+            self._quarantines[service].record_conviction(fingerprint)
             key = f"{service}/{fingerprint}"
-            self._publish(Fact("poison_verdict", key, _CONVICTED))
-            self._give_up(fingerprint)
+            self._publish(Fact("poison_verdict", key, _CONVICTION_RANK))
+            self._stop_answers(fingerprint)
 
-    def _give_up(self, fingerprint: str) -> None:
+    def _stop_answers(self, fingerprint: str) -> None:
         # What still runs elsewhere would take its runner down as well.
         for answer in tuple(self._gateway.answers):
             if answer.call.digest == fingerprint and answer.relayed:
--- a/lagoonpost/gateway/reclaim.py
+++ b/lagoonpost/gateway/reclaim.py
@@ -15,7 +15,7 @@
 # gives only seconds of notice, so each one counts.
 POLL_SECONDS = 0.5
 # A notice that is past says nothing of a host that has its name again.
-PAST_SECONDS = 60.0
+EXPIRED_NOTICE_SECONDS = 60.0
 
 
 class NoticeWatch:
@@ -34,14 +34,14 @@
         gateway: Gateway,
         host: str,
         on_runner: Callable[[str, float], None],
-        on_self: Callable[[float], None],
+        on_own_host: Callable[[float], None],
     ) -> None:
         self._gateway = gateway
         self._host = host
         self._on_runner = on_runner
-        self._on_self = on_self
+        self._on_own_host = on_own_host
         self._seen: set[Notice] = set()
-        self._told: set[tuple[str, float]] = set()
+        self._notified: set[tuple[str, float]] = set()
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -50,12 +50,12 @@
             found = await fetch_notices(self._gateway.client, platform)
             if not isinstance(found, Unavailable):
                 for notice in found:
-                    self._take(notice)
+                    self._handle_notice(notice)
             await asyncio.sleep(POLL_SECONDS)
 
-    def _take(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: Notice) -> None:
         left = notice.deadline - time.time()
-        if left < -PAST_SECONDS:
+        if left < -EXPIRED_NOTICE_SECONDS:
             return
         if notice not in self._seen:
             self._seen.add(notice)
@@ -65,17 +65,17 @@
                 seconds=round(left, 3),
             )
             if notice.host == self._host:
-                self._on_self(notice.deadline)
+                self._on_own_host(notice.deadline)
         # At each poll: the declaration may name a runner of the host only
         # after the notice was seen, as when this gateway has just started.
         for runner in self._gateway.declaration.runners:
             told = (runner.name, notice.deadline)
-            if runner.host == notice.host and told not in self._told:
-                self._told.add(told)
+            if runner.host == notice.host and told not in self._notified:
+                self._notified.add(told)
                 self._on_runner(runner.name, notice.deadline)
 
 
-def leave_runner(gateway: Gateway, runner: str, seconds: float) -> None:
+def mark_runner_leaving(gateway: Gateway, runner: str, seconds: float) -> None:
     """Send no new work to a runner and move its answers off it.
 
     Args:
@@ -83,9 +83,9 @@
         runner: Name of the runner that will go.
         seconds: Time until it goes.
     """
-    if runner in gateway.leaving:
+    if runner in gateway.leaving_runners:
         return
-    gateway.leaving.add(runner)
+    gateway.leaving_runners.add(runner)
     gateway.dispatcher.notify(Leaving(frozenset({runner})))
     deadline = asyncio.get_running_loop().time() + max(0.0, seconds)
     for answer in tuple(gateway.answers):
--- a/lagoonpost/gateway/server.py
+++ b/lagoonpost/gateway/server.py
@@ -14,7 +14,7 @@
 from lagoonpost.tables.entity import Workspace
 
 Access = Literal["open", "workspace", "operator"]
-Call = Callable[
+Handler = Callable[
     [Gateway, Request, Responder, Workspace | None], Awaitable[None]
 ]
 
@@ -23,7 +23,7 @@
 PHASE_RETRY_SECONDS = 1.0
 
 
-class Endpoint(NamedTuple):
+class HttpRoute(NamedTuple):
     """One entry of the route table; ``path`` may end in ``*``.
 
     ``serving`` says that it needs a gateway that serves.
@@ -32,13 +32,13 @@
     method: str
     path: str
     access: Access
-    serving: bool
-    call: Call
+    needs_serving: bool
+    handler: Handler
 
 
-def _answer_by(
+def _adapt_handler(
     handler: Callable[[Gateway, Request], Awaitable[Response]],
-) -> Call:
+) -> Handler:
     async def call(
         gateway: Gateway,
         request: Request,
@@ -87,28 +87,36 @@
     await responder.send(await gateway.tickets.handle(request, operator))
 
 
-ENDPOINTS = (
-    Endpoint(
+HTTP_ROUTES = (
+    HttpRoute(
         "POST", "/v1/chat/completions", "workspace", True, chat.answer_chat
     ),
-    Endpoint("GET", "/v1/requests/*", "workspace", False, chat.answer_moved),
-    Endpoint("*", "/v1/services/*", "workspace", True, _call_plain),
-    Endpoint("GET", "/v1/entries", "open", False, _list_entries),
-    Endpoint("GET", "/healthz", "open", False, _answer_by(status.get_health)),
-    Endpoint("GET", "/readyz", "open", False, _answer_by(status.get_ready)),
-    Endpoint(
-        "GET", "/v1/status", "operator", False, _answer_by(status.get_status)
+    HttpRoute("GET", "/v1/requests/*", "workspace", False, chat.answer_moved),
+    HttpRoute("*", "/v1/services/*", "workspace", True, _call_plain),
+    HttpRoute("GET", "/v1/entries", "open", False, _list_entries),
+    HttpRoute(
+        "GET", "/healthz", "open", False, _adapt_handler(status.get_health)
     ),
-    Endpoint("*", "/v1/tickets", "operator", False, _handle_ticket),
-    Endpoint("*", "/v1/tickets/*", "operator", False, _handle_ticket),
-    Endpoint("GET", "/v1/declaration", "operator", False, _handle_ticket),
+    HttpRoute(
+        "GET", "/readyz", "open", False, _adapt_handler(status.get_ready)
+    ),
+    HttpRoute(
+        "GET",
+        "/v1/status",
+        "operator",
+        False,
+        _adapt_handler(status.get_status),
+    ),
+    HttpRoute("*", "/v1/tickets", "operator", False, _handle_ticket),
+    HttpRoute("*", "/v1/tickets/*", "operator", False, _handle_ticket),
+    HttpRoute("GET", "/v1/declaration", "operator", False, _handle_ticket),
 )
 
 
-def find_endpoint(request: Request) -> Endpoint | Response:
+def find_http_route(request: Request) -> HttpRoute | Response:
     """Return the endpoint of a request, or why there is none."""
     known = False
-    for endpoint in ENDPOINTS:
+    for endpoint in HTTP_ROUTES:
         prefix = endpoint.path.removesuffix("*")
         matches = request.path == endpoint.path or (
             prefix != endpoint.path and request.path.startswith(prefix)
@@ -132,7 +140,7 @@
     gateway: Gateway, request: Request, responder: Responder
 ) -> None:
     """Answer one request; the server's handler."""
-    endpoint = find_endpoint(request)
+    endpoint = find_http_route(request)
     if isinstance(endpoint, Response):
         await responder.send(endpoint)
         return
@@ -141,7 +149,7 @@
         await responder.send(allowed)
         return
     try:
-        await endpoint.call(gateway, request, responder, allowed)
+        await endpoint.handler(gateway, request, responder, allowed)
     except PeerGoneError:
         gateway.metrics.count("caller_gone")
         eliot.log_message(
@@ -151,9 +159,9 @@
 
 
 def _check_access(
-    gateway: Gateway, endpoint: Endpoint, request: Request
+    gateway: Gateway, endpoint: HttpRoute, request: Request
 ) -> Workspace | Response | None:
-    if endpoint.serving and gateway.phase != "serving":
+    if endpoint.needs_serving and gateway.phase != "serving":
         return make_problem(
             503,
             "Not serving",
--- a/lagoonpost/gateway/state.py
+++ b/lagoonpost/gateway/state.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Literal, NamedTuple
 
-from lagoonpost.gateway.answer import ActiveAnswer, Held
+from lagoonpost.gateway.answer import ActiveAnswer, HandedOverRequest
 from lagoonpost.gateway.booking import Bookings
 from lagoonpost.gateway.dispatcher import Dispatcher
 from lagoonpost.gateway.metrics import Metrics
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from lagoonpost.gateway.entries import EntryLists
     from lagoonpost.gateway.moves import VersionMoves
-    from lagoonpost.gateway.quarantine import QuarantineDesk
+    from lagoonpost.gateway.quarantine import QuarantineTracker
 
 Phase = Literal["starting", "serving", "stale", "leaving"]
 
@@ -43,7 +43,7 @@
 
     tickets: TicketHandlers
     bookings: Bookings
-    quarantine: "QuarantineDesk"
+    quarantine: "QuarantineTracker"
     entries: "EntryLists"
     moves: "VersionMoves"
 
@@ -60,14 +60,14 @@
         self.signing_key = settings.signing_key.encode()
         self.started = asyncio.get_running_loop().time()
         self.answers: set[ActiveAnswer] = set()
-        self.held: dict[str, Held] = {}
+        self.handed_over: dict[str, HandedOverRequest] = {}
         self.mover = KvMover(self.client)
-        self.leaving: set[str] = set()
+        self.leaving_runners: set[str] = set()
         self.members: Callable[[], tuple[EntryMember, ...]] = tuple
 
     def is_leaving(self, runner: str) -> bool:
         """Tell whether a runner is known to go."""
-        return runner in self.leaving
+        return runner in self.leaving_runners
 
     def describe_runner(self, runner: str) -> str:
         """Return a runner's state in a word, for operators."""
--- a/lagoonpost/gateway/stream.py
+++ b/lagoonpost/gateway/stream.py
@@ -13,7 +13,7 @@
 
 # A teacher whose assistant went quiet gave up: callers and the proxies
 # before them take 15 s without a byte for a dead connection.
-ALIVE_SECONDS = 5.0
+KEEP_ALIVE_SECONDS = 5.0
 STREAM_HEADERS: Headers = (
     ("content-type", "text/event-stream"),
     ("cache-control", "no-store"),
@@ -22,7 +22,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class CallerStream:
+class StreamingAnswerSink:
     """Writes one answer as chat-completion chunks.
 
     Args:
@@ -39,7 +39,7 @@
         self._origin = origin
         self._signer = EventSigner(key, origin)
         self._loop = asyncio.get_running_loop()
-        self._written = self._loop.time()
+        self._last_write_at = self._loop.time()
         head = {
             "id": f"chatcmpl-{origin.request_id}",
             "object": "chat.completion.chunk",
@@ -48,17 +48,21 @@
         }
         # All but the text is the same in each chunk of a stream.
         self._head = _encode(head)[:-1]
-        self._before = (
+        self._text_prefix = (
             self._head + b',"choices":[{"index":0,"delta":{"content":'
         )
-        self._after = b'},"finish_reason":null}]}\n\n'
+        self._text_suffix = b'},"finish_reason":null}]}\n\n'
 
     async def write_part(self, part: Part) -> None:
         """Send the tokens that one read from the runner brought."""
         if part.runner != self._origin.runner:
             self._origin = self._origin._replace(runner=part.runner)
             self._signer = EventSigner(self._key, self._origin)
-        sign, before, after = self._signer.sign, self._before, self._after
+        sign, before, after = (
+            self._signer.sign,
+            self._text_prefix,
+            self._text_suffix,
+        )
         data = b"".join(
             b"id: %b\ndata: %b%b%b"
             % (sign(number), before, _encode(token), after)
@@ -68,7 +72,7 @@
 
     async def keep_alive(self) -> None:
         """Send a comment if nothing was sent for a while."""
-        if self._loop.time() - self._written >= ALIVE_SECONDS:
+        if self._loop.time() - self._last_write_at >= KEEP_ALIVE_SECONDS:
             await self._write(b": alive\n\n")
 
     async def complete(self, completed: Completed) -> None:
@@ -98,7 +102,7 @@
         await self._responder.finish()
 
     async def _write(self, data: bytes) -> None:
-        self._written = self._loop.time()
+        self._last_write_at = self._loop.time()
         if not self._responder.started:
             request_id = ("x-request-id", self._origin.request_id)
             await self._responder.start(200, (*STREAM_HEADERS, request_id))
--- a/lagoonpost/gateway/tickets.py
+++ b/lagoonpost/gateway/tickets.py
@@ -34,7 +34,7 @@
 DECLARATION_PATH = "/v1/declaration"
 RETRY_SECONDS = 2
 """When to come back after the store failed: one poll and one try of ours."""
-PAGE = 100
+MAX_PAGE_SIZE = 100
 _STATUS = {
     "number_taken": 409,
     "stale": 409,
@@ -87,20 +87,20 @@
         ticket = parse_ticket(content)
         if isinstance(ticket, InvalidTicket):
             invalid = Refused("invalid", "not a ticket", ticket.errors)
-            return _answer(invalid)
+            return _make_response(invalid)
         outcome = await self._intake.submit(ticket, operator)
         if isinstance(outcome, Accepted):
             self._watch.take(outcome.record)
             self._publish(outcome.record)
             near = find_unreachable_deadlines(ticket, self._clock())
-            return _accept(outcome.record, near)
-        return _answer(outcome)
+            return _make_accepted(outcome.record, near)
+        return _make_response(outcome)
 
     async def show_ticket(self, number: int) -> Response:
         """GET /v1/tickets/N: one accepted ticket."""
         record = await self._intake.find(number)
         if isinstance(record, Unavailable):
-            return _answer(NotRun(record.detail))
+            return _make_response(NotRun(record.detail))
         if record is None:
             detail = f"no ticket {number} was accepted"
             return _make_problem(404, "not_found", detail, "not_run")
@@ -110,14 +110,14 @@
         """GET /v1/tickets?after=N&limit=M: accepted tickets in order."""
         query = parse_qs(request.query)
         after = query.get("after", ["0"])[0]
-        limit = query.get("limit", [str(PAGE)])[0]
+        limit = query.get("limit", [str(MAX_PAGE_SIZE)])[0]
         if not _is_number(after) or not _is_number(limit):
             detail = "after and limit are whole numbers"
             return _make_problem(400, "bad_query", detail, "not_run")
-        count = max(1, min(int(limit), PAGE))
+        count = max(1, min(int(limit), MAX_PAGE_SIZE))
         records = await self._intake.list_tickets(int(after), count)
         if isinstance(records, Unavailable):
-            return _answer(NotRun(records.detail))
+            return _make_response(NotRun(records.detail))
         tickets = [format_record(record) for record in records]
         return make_json_response(200, {"tickets": tickets})
 
@@ -141,7 +141,9 @@
     return plain and int(text) <= MAX_NUMBER
 
 
-def _accept(record: TicketRecord, near: Sequence[FieldError]) -> Response:
+def _make_accepted(
+    record: TicketRecord, near: Sequence[FieldError]
+) -> Response:
     body = format_record(record)
     del body["objects"]
     warnings = [str(fault) for fault in near]
@@ -150,10 +152,10 @@
     )
 
 
-def _answer(outcome: TicketOutcome | NotRun) -> Response:
+def _make_response(outcome: TicketOutcome | NotRun) -> Response:
     match outcome:
         case Accepted(record):
-            return _accept(record, ())
+            return _make_accepted(record, ())
         case Refused(reason, detail, faults):
             shown = [fault._asdict() for fault in faults]
             status = _STATUS[reason]
--- a/lagoonpost/gateway/token.py
+++ b/lagoonpost/gateway/token.py
@@ -8,7 +8,7 @@
 import msgspec
 
 MAC_BYTES = 9
-ID_LIMIT = 1024
+MAX_ID_CHARACTERS = 1024
 
 
 class StreamOrigin(NamedTuple):
@@ -63,7 +63,11 @@
     """Return what a signed event id says, or None if it is not ours."""
     prefix, _, rest = text.partition(".")
     number, _, mac = rest.partition(".")
-    if len(text) > ID_LIMIT or not number.isdecimal() or not text.isascii():
+    if (
+        len(text) > MAX_ID_CHARACTERS
+        or not number.isdecimal()
+        or not text.isascii()
+    ):
         return None
     signed = f"{prefix}.{number}".encode("ascii")
     expected = hashlib.blake2b(
--- a/test/test_attempt.py
+++ b/test/test_attempt.py
@@ -23,7 +23,7 @@
     def note(self: VersionMoves, *args: object, **outcome: bool) -> None:
         noted.append(outcome["failed"])
 
-    monkeypatch.setattr(VersionMoves, "note", note)
+    monkeypatch.setattr(VersionMoves, "record_attempt", note)
 
     async def story(stack: Stack) -> None:
         gateway = stack.gateways[0]._gateway
@@ -32,9 +32,9 @@
             "r", "w", "m", "/chat", "draft", 1, 1, (), "f", now, now + 9, True
         )
         if leaving:
-            gateway.leaving.add(RUNNER.name)
+            gateway.leaving_runners.add(RUNNER.name)
         for kind in kinds:
-            Attempt(gateway, row, ROUTE).note_failure(RUNNER, kind)
+            Attempt(gateway, row, ROUTE).record_failure(RUNNER, kind)
 
     play(story, engines=1)
     return sum(noted)
--- a/test/test_gateway_quarantine.py
+++ b/test/test_gateway_quarantine.py
@@ -144,7 +144,7 @@
 
         async def story(stack: Stack) -> None:
             gateway = stack.gateways[0]._gateway
-            learn = gateway.quarantine.learn
+            learn = gateway.quarantine.handle_fact
             verdicts = gateway.dispatcher.tables.verdicts
             now = time.time()
             for fingerprint, runner in (
--- a/test/test_moves.py
+++ b/test/test_moves.py
@@ -153,7 +153,7 @@
                 ),
             )
             await gateway.moves.tick(now)
-            applied = gateway.moves.apply(gateway.declaration)
+            applied = gateway.moves.apply_shares(gateway.declaration)
             return {each.name: each.share for each in applied.versions}
 
         shares = play(story)
--- a/test/test_order.py
+++ b/test/test_order.py
@@ -6,7 +6,7 @@
 import msgspec
 from memory_store import MemoryStore
 
-from lagoonpost.controller.order import Orders
+from lagoonpost.controller.order import OrderSender
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Address, parse_address
 from lagoonpost.store.lease import LeaseKeeper
@@ -56,7 +56,7 @@
         self.keepers = [
             LeaseKeeper(store, "shard", name, name, POLICY) for name in "ab"
         ]
-        self.orders = [Orders(self.client, each) for each in self.keepers]
+        self.orders = [OrderSender(self.client, each) for each in self.keepers]
 
     async def order(self, controller: int, wanted: DesiredState) -> None:
         await self.orders[controller].reconcile(
@@ -128,7 +128,7 @@
                 msgspec.json.encode(late),
                 timeout=5.0,
             )
-            orders = world.orders[0]._given
+            orders = world.orders[0]._last_orders
             orders["engine"] = orders["engine"]._replace(
                 sent_at=-REPEAT_SECONDS
             )
@@ -143,6 +143,6 @@
             world.engine.state.fence = 9
             await world.order(0, NEW)
             assert world.engine.state.fence == 9
-            assert not world.orders[0]._given["engine"].confirmed
+            assert not world.orders[0]._last_orders["engine"].confirmed
 
         play(story, checks_fence=True)
--- a/test/test_reference.py
+++ b/test/test_reference.py
@@ -7,7 +7,7 @@
 
 from lagoonpost.cli.main import main
 from lagoonpost.cli.option import ExitCode
-from lagoonpost.gateway.server import ENDPOINTS
+from lagoonpost.gateway.server import HTTP_ROUTES
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "REFERENCE.md").read_text()
@@ -45,7 +45,7 @@
             assert f"`{name}`" in PAGE, name
 
     def test_names_every_endpoint(self) -> None:
-        for endpoint in ENDPOINTS:
+        for endpoint in HTTP_ROUTES:
             assert f"`{endpoint.path}`" in PAGE, endpoint.path
 
     def test_names_every_exit_code(self) -> None:
--- a/test/test_departure.py
+++ b/test/test_shutdown.py
@@ -146,9 +146,9 @@
                 (busy,) = [g for g in stack.gateways if g.count_answers()]
                 others = [g for g in stack.gateways if g is not busy]
                 leaving = asyncio.create_task(busy.leave(0.0))
-                while not any(g.count_held() for g in others):  # noqa: ASYNC110
+                while not any(g.count_handed_over() for g in others):  # noqa: ASYNC110
                     await asyncio.sleep(0)
-                (successor,) = [g for g in others if g.count_held()]
+                (successor,) = [g for g in others if g.count_handed_over()]
                 await stack.cut(successor)
                 await leaving
 
