--- a/lagoonpost/controller/__init__.py
+++ b/lagoonpost/controller/__init__.py
@@ -1,1 +1,1 @@
-"""Lease loops and drivers that carry out placement and version moves."""
+"""Controller process: reconciles runners and sweeps the ledger."""
--- a/lagoonpost/controller/daemon.py
+++ b/lagoonpost/controller/daemon.py
@@ -1,4 +1,4 @@
-"""The controller process: leases, orders to runners and the sweep."""
+"""The controller process: shard leases, orders to runners, ledger sweep."""
 
 import asyncio
 import signal
@@ -22,7 +22,7 @@
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
 
-# Enough that at 320 controllers no one of them has a large part of 2,800
+# Enough shards that with 320 controllers none handles a large share of 2,800
 # runners, and few enough that leases cost the store under 10 writes a second.
 RUNNER_SHARDS = 16
 RUNNER_PREFIX = "runners-"
@@ -30,7 +30,7 @@
 
 
 class ControllerDaemon:
-    """One controller, from its settings to its end."""
+    """A controller process, from its settings to its shutdown."""
 
     def __init__(self, settings: ControllerSettings) -> None:
         self._settings = settings
@@ -60,7 +60,7 @@
         )
 
     async def run(self) -> None:
-        """Work until SIGTERM, then release all leases."""
+        """Work until SIGTERM or SIGINT, then release all leases."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -87,7 +87,7 @@
                 self._watch.hear(fact.rank)
 
     def _handle_members(self, members: Sequence[Member]) -> None:
-        """Ignore changes: the live members are read when needed."""
+        """Ignore membership changes; live members are read on demand."""
 
     def _list_live_controllers(self) -> Collection[str]:
         return [
@@ -102,8 +102,8 @@
             return
         orders = OrderSender(self._client, keeper)
         while keeper.is_held():
-            # A controller that has not caught up would order runners back
-            # to what an earlier declaration wanted.
+            # A controller with an outdated declaration would order runners
+            # back to an earlier state.
             if self._watch.is_current():
                 runners = self._list_runners(shard)
                 wanted = {
@@ -127,6 +127,6 @@
 
 
 def choose_shard(runner: str) -> str:
-    """Return the shard that a runner belongs to, the same everywhere."""
+    """Return the shard of a runner, equal on all controllers."""
     number = xxhash.xxh3_64_intdigest(runner.encode()) % RUNNER_SHARDS
     return f"{RUNNER_PREFIX}{number}"
--- a/lagoonpost/controller/loop.py
+++ b/lagoonpost/controller/loop.py
@@ -1,4 +1,4 @@
-"""Runs a controller's work on each shard while its lease is held."""
+"""Runs a controller's work on each shard while it holds the lease."""
 
 import asyncio
 import secrets
@@ -17,16 +17,16 @@
 
 
 class Controller:
-    """Holds shards of the work and runs it.
+    """Contends for the leases of shards and works on the shards it holds.
 
     Args:
-        store: Table service.
+        store: Table store that holds the leases.
         name: Name of this controller.
         shards: Names of all shards.
-        work: Runs on one shard until it is cancelled; it asks its keeper
-            before each effect whether the lease is still held.
-        list_live: Returns the names of the controllers that are alive.
-        policy: Times of the leases.
+        work: Works on one shard until cancelled. Must check with its lease
+            keeper before each side effect that the lease is still held.
+        list_live: Returns the names of the live controllers.
+        policy: Durations and timeouts of the leases.
     """
 
     def __init__(
@@ -49,10 +49,10 @@
         }
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Work until ``stop``, then release all shards.
+        """Work until ``stop`` is set, then release all leases.
 
         Raises:
-            ExceptionGroup: If the work on shards failed.
+            ExceptionGroup: If the work on a shard raised an exception.
         """
         async with asyncio.TaskGroup() as group:
             for shard, keeper in self._keepers.items():
@@ -75,14 +75,14 @@
     async def _run_while_held(
         self, shard: str, keeper: LeaseKeeper, stop: asyncio.Event
     ) -> None:
-        """Run the work until the lease ends or is handed over."""
+        """Work on a shard until its lease ends or is handed over."""
         began = read_clock()
         work = asyncio.ensure_future(self._work(shard, keeper))
         while keeper.is_held() and not stop.is_set() and not work.done():
             if not self._choose_claim(shard, read_clock() - began).wanted:
                 break
             await _wait(stop)
-        # The work must be over before the lease is given away.
+        # The work must end before the lease is released.
         work.cancel()
         await asyncio.wait([work])
         if not work.cancelled():
--- a/lagoonpost/controller/order.py
+++ b/lagoonpost/controller/order.py
@@ -1,4 +1,4 @@
-"""Gives runners their orders under a lease."""
+"""Sends orders to the runners of a shard while its lease is held."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -17,11 +17,11 @@
 
 
 class OrderSender:
-    """Orders of one shard, repeated until its runners are as wanted.
+    """Sends the orders of one shard until its runners match their state.
 
     Args:
-        client: HTTP client.
-        keeper: Lease of the shard.
+        client: HTTP client for calls to runners.
+        keeper: Keeper of the shard's lease.
     """
 
     def __init__(self, client: Client, keeper: LeaseKeeper) -> None:
@@ -32,11 +32,11 @@
     async def reconcile(
         self, runners: Iterable[Runner], wanted: Mapping[str, DesiredState]
     ) -> None:
-        """Order the runners that are due, and wait for their answers.
+        """Send orders to the runners that are due and wait for the replies.
 
         Args:
             runners: All runners of the shard.
-            wanted: Wanted state by name of the runner.
+            wanted: Desired state by runner name.
         """
         fence = self._keeper.fence
         due = set(
@@ -82,8 +82,8 @@
         )
 
     def _make_guard(self, runner: Runner, fence: int) -> Callable[[], bool]:
-        # Asked again when the bytes leave: the lease may have ended, or may
-        # have been taken anew, while the connection was made.
+        # Checked again just before sending: while the connection was set up,
+        # the lease may have ended or been acquired again under a new fence.
         def may_send() -> bool:
             same = self._keeper.fence == fence
             return same and self._keeper.may_order(runner.checks_fence)
--- a/lagoonpost/controller/sweep.py
+++ b/lagoonpost/controller/sweep.py
@@ -1,15 +1,15 @@
 """Deletes expired rows of the booking ledger, a page at a time.
 
-Pattern of load: rows come in with the bookings and go a week later, while the
-store has only a few hundred writes a second for everybody. Deleting all that
-expired overnight at once would take the store from the bookings; never
-deleting would let it grow without end.
+Load pattern: each booking adds a row that expires after a week, and the store
+handles only a few hundred writes a second for all its clients. Deleting a
+night's expired rows at once would starve the bookings; without deletion the
+ledger would grow without bound.
 
 Thresholds: a page of 256 rows every ``PAGE_SECONDS`` costs one scan and at
-most one write a second. It keeps up with 256 expiring rows a second only if
-all rows of a page are expired; with a ledger of ``n`` live rows a round takes
-``n / 256`` seconds, so rows outlive their time by that. With a million rows
-that is about an hour.
+most one write a second. The sweep keeps up with 256 expiring rows a second
+only if all rows of a page are expired. With ``n`` live rows a round takes
+``n / 256`` seconds, and rows stay that much longer than their expiry: about
+an hour with a million rows.
 """
 
 import asyncio
@@ -31,22 +31,22 @@
     page_seconds: float = PAGE_SECONDS,
     round_seconds: float = ROUND_SECONDS,
 ) -> None:
-    """Sweep round after round while the lease is held.
+    """Delete expired rows in repeated rounds while the lease is held.
 
-    Two sweepers at once would do no harm, since rows are deleted only in the
-    version that was seen; the lease saves the second one's scans.
+    Concurrent sweepers would be harmless, because a row is deleted only in
+    the version that was read. The lease avoids the cost of duplicate scans.
 
     Args:
-        store: Table service.
-        keeper: Lease of the shard :data:`SHARD`.
-        page_seconds: Pause after each page.
-        round_seconds: Pause after each round.
+        store: Table store with the ledger.
+        keeper: Keeper of the lease of shard :data:`SHARD`.
+        page_seconds: Pause after each page, in seconds.
+        round_seconds: Pause after each round, in seconds.
     """
     after = ""
     while keeper.is_held():
         reached = await sweep(store, after)
         if reached == "":
             eliot.log_message(message_type="lagoonpost:controller:swept")
-        # After an outage the round goes on where it was.
+        # After an outage the round resumes at the same row.
         after = after if reached is None else reached
         await asyncio.sleep(page_seconds if after else round_seconds)
--- a/lagoonpost/gateway/__init__.py
+++ b/lagoonpost/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: HTTP server, relay and entry list."""
+"""Gateway process: serves callers over HTTP and relays to runners."""
--- a/lagoonpost/gateway/access.py
+++ b/lagoonpost/gateway/access.py
@@ -1,4 +1,4 @@
-"""Who calls: bearer keys of workspaces and operators, kept as digests."""
+"""Authenticates callers by the stored digests of their bearer keys."""
 
 import hashlib
 import hmac
@@ -8,17 +8,17 @@
 from lagoonpost.tables.entity import Declaration, Workspace
 
 SCHEME = "bearer "
-# Name of an operator whose key comes from the settings.
+# Name of the operator whose key digest comes from the settings.
 SETTINGS_OPERATOR = "settings"
 
 
 def digest_key(key: str) -> str:
-    """Return the SHA-256 of a bearer key, in hex."""
+    """Return the SHA-256 digest of a bearer key, in hex."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def read_bearer(request: Request) -> str | None:
-    """Return the bearer key of a request, if it has one."""
+    """Return the bearer key of a request, or None without one."""
     value = request.header("authorization") or ""
     if not value.lower().startswith(SCHEME):
         return None
@@ -28,7 +28,7 @@
 def find_workspace(
     declaration: Declaration, request: Request
 ) -> Workspace | None:
-    """Return the workspace whose bearer key the request carries."""
+    """Return the workspace whose bearer key the request carries, if any."""
     key = read_bearer(request)
     if key is None:
         return None
@@ -45,9 +45,14 @@
     """Return the name of the operator whose key the request carries.
 
     Args:
-        digests: Digests of keys from the settings, for the first tickets.
-        declaration: Has the operators that tickets declared.
-        request: The request.
+        digests: Key digests from the settings. They let an operator submit
+            the first tickets, before any operator is declared.
+        declaration: Declaration with the operators added by tickets.
+        request: Request to authenticate.
+
+    Returns:
+        The operator's name, `SETTINGS_OPERATOR` for a key from the settings,
+        or None if the key belongs to no operator.
     """
     key = read_bearer(request)
     if key is None:
@@ -56,6 +61,6 @@
     for operator in declaration.operators:
         if hmac.compare_digest(operator.key_digest, digest):
             return operator.name
-    if any(hmac.compare_digest(known, digest) for known in digests):
+    if any(hmac.compare_digest(accepted, digest) for accepted in digests):
         return SETTINGS_OPERATOR
     return None
--- a/lagoonpost/gateway/answer.py
+++ b/lagoonpost/gateway/answer.py
@@ -1,4 +1,4 @@
-"""Accepted chat requests while they run on this gateway."""
+"""Chat answers in progress on this gateway, and where they are written."""
 
 import asyncio
 from typing import Any, NamedTuple, Protocol
@@ -13,14 +13,15 @@
 
 
 class HandedOverRequest(NamedTuple):
-    """A request that a leaving gateway handed to this one.
+    """A chat request that a gateway in shutdown handed over to this one.
 
     Attributes:
-        service: Service asked for.
-        workspace: The only workspace that may fetch its answer.
-        body: The caller's request.
-        tokens: Tokens that were generated so far.
-        until: When it may be forgotten, on the loop's clock.
+        service: Name of the requested service.
+        workspace: The only workspace that may fetch the answer.
+        body: Body of the caller's request.
+        tokens: Tokens generated before the hand-over.
+        expires_at: Time after which the request may be dropped, in seconds
+            on the event loop's clock.
     """
 
     service: str
@@ -31,32 +32,32 @@
 
 
 class AnswerSink(Protocol):
-    """Where an answer goes: a stream of events, or one whole response."""
+    """Destination of an answer: an event stream or one buffered response."""
 
     async def write_part(self, part: Part) -> None:
-        """Take the tokens that one read from the runner brought."""
+        """Accept the tokens of one read from the runner."""
 
     async def keep_alive(self) -> None:
-        """Show the caller that the answer is still coming."""
+        """Keep an idle connection to the caller open."""
 
     async def complete(self, completed: Completed) -> None:
-        """End the answer; it is whole."""
+        """Finish an answer that is complete."""
 
     async def move(self, entry: str) -> None:
-        """Send the caller to another gateway for the rest."""
+        """Redirect the caller to the gateway at ``entry`` for the rest."""
 
     async def fail(self, problem: Response) -> None:
-        """End the answer with a problem."""
+        """Finish the answer with a problem response."""
 
 
 class BufferedAnswerSink:
-    """Sink that answers a caller who waits for the whole answer.
+    """Buffers an answer and sends it as one response.
 
     Args:
-        responder: The caller's open response.
+        responder: Responder of the caller's request.
         key: Key that signs event ids.
-        origin: The answer.
-        tokens: Tokens that come before those written here.
+        origin: Identity of the answer.
+        tokens: Tokens that precede the first part written to this sink.
     """
 
     def __init__(
@@ -72,15 +73,15 @@
         self._texts = list(tokens)
 
     async def write_part(self, part: Part) -> None:
-        """Keep the tokens until the answer is whole."""
+        """Buffer the tokens until the answer is complete."""
         self._origin = self._origin._replace(runner=part.runner)
         self._texts.append(part.text)
 
     async def keep_alive(self) -> None:
-        """Do nothing: a whole answer has no bytes before its end."""
+        """Do nothing: a buffered response sends no bytes before its end."""
 
     async def complete(self, completed: Completed) -> None:
-        """Send the whole answer as one chat completion."""
+        """Send the buffered answer as one chat completion."""
         message = {"role": "assistant", "content": "".join(self._texts)}
         choice = {
             "index": 0,
@@ -98,7 +99,7 @@
         await self._responder.send(make_json_response(200, answer, headers))
 
     async def move(self, entry: str) -> None:
-        """Redirect the caller to where the answer can be fetched."""
+        """Redirect the caller to the URL of the answer at ``entry``."""
         token = EventSigner(self._key, self._origin).sign(0).decode()
         path = f"/v1/requests/{self._origin.request_id}?token={token}"
         location = ("location", f"http://{entry}{path}")
@@ -107,18 +108,20 @@
         )
 
     async def fail(self, problem: Response) -> None:
-        """Send the problem."""
+        """Send the problem as the response."""
         await self._responder.send(problem)
 
 
 class ActiveAnswer:
-    """One accepted chat request and the task that answers it.
+    """A chat request in progress and the task that answers it.
 
     Attributes:
         origin: Identity of the answer and the runner that generates it.
         call: The caller's request.
-        relayed: The answer on its way from a runner, once it has one.
-        successor: Entry that the caller is sent to, once moved.
+        relayed: Answer relayed from a runner, or None before a runner is
+            chosen.
+        successor: Entry address of the gateway that continues the answer,
+            or None unless the answer has moved.
     """
 
     def __init__(self, origin: StreamOrigin, call: ChatCall) -> None:
@@ -131,17 +134,17 @@
         self.successor: str | None = None
 
     def move(self, entry: str) -> None:
-        """Have the answer's task send its caller to another gateway."""
+        """Make the answer's task redirect its caller to ``entry``."""
         if self.successor is None:
             self.successor = entry
             self.detach()
             self._task.cancel()
 
     def detach(self) -> None:
-        """Let the runner go on for whichever gateway is asked next."""
+        """Leave the run on its runner for another gateway to resume."""
         if self.relayed is not None:
             self.relayed.detach()
 
     def encode_body(self) -> bytes:
-        """Return the caller's request for a peer."""
+        """Return the caller's request body, encoded for a peer."""
         return msgspec.json.encode(self.call.body)
--- a/lagoonpost/gateway/attempt.py
+++ b/lagoonpost/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""How one attempt of a request went, as evidence on its version."""
+"""Records the outcome of each attempt as evidence on its version."""
 
 import asyncio
 
@@ -7,20 +7,20 @@
 from lagoonpost.tables.entity import Route, Runner
 from lagoonpost.tables.request import RequestRow
 
-# Kinds of failure that speak against a runner's version. A refusal says
-# that it is full, and a reclaim comes from the cloud.
+# Failure kinds that count against the runner's version. A refusal only means
+# that the runner is full, and a reclaim is the cloud's decision.
 VERSION_FAILURE_KINDS = frozenset({"failed", "lost", "silent"})
-# Of these, kinds that all requests of a runner share when it goes.
+# Failure kinds that hit all requests in flight on a lost runner at once.
 RUNNER_LOSS_KINDS = frozenset({"lost", "silent"})
 
 
 class Attempt:
-    """Times one request's attempts against its route's targets.
+    """Compares the attempts of one request with its route's latency targets.
 
     Args:
-        gateway: The gateway that runs it.
+        gateway: Gateway that serves the request.
         row: The request.
-        route: Its route, with the targets.
+        route: Route of the request, with the latency targets.
     """
 
     def __init__(
@@ -35,22 +35,23 @@
         self.begin()
 
     def begin(self) -> None:
-        """Start the clock of the next attempt."""
+        """Start the timer of the next attempt."""
         self._sent_at = self._loop.time()
-        # The chance that the new version had when this attempt was sent; by
-        # its end the share may be another.
+        # The share of the new version at the time of sending: it may change
+        # before the attempt ends.
         self._share = self._gateway.moves.share(self._row.service)
         self._first_token_at = None
         self._tokens = 0
 
     def record_failure(self, runner: Runner, kind: str) -> None:
-        """Take in that the runner failed under the attempt."""
+        """Record that the attempt failed on ``runner``."""
         if kind not in VERSION_FAILURE_KINDS or self._gateway.is_leaving(
             runner.name
         ):
             return
-        # A lost host fails all that ran there. Counted one by one, a single
-        # loss of the new version's few runners would take a good one back.
+        # A lost host fails all requests in flight on it. If each failure
+        # counted, losing one of the new version's few runners would roll
+        # back a good version.
         if kind in RUNNER_LOSS_KINDS and not self._gateway.moves.record_loss(
             runner.name
         ):
@@ -58,14 +59,14 @@
         self._record(runner, failed=True, slow=False)
 
     def record_answer(self, runner: Runner) -> None:
-        """Take in that a plain service answered whole."""
+        """Record a complete answer of a plain service."""
         late = self._loop.time() - self._sent_at > self._route.first_seconds
         self._record(runner, failed=False, slow=late)
 
     def record_outcome(
         self, outcome: Part | Completed | Failed, runner: Runner | None
     ) -> None:
-        """Take in what came of a draft."""
+        """Record the next outcome of a chat answer."""
         if runner is None:
             return
         match outcome:
--- a/lagoonpost/gateway/booking.py
+++ b/lagoonpost/gateway/booking.py
@@ -1,4 +1,4 @@
-"""Calls that must not be repeated, such as bookings, through the ledger."""
+"""Runs non-repeatable calls, such as bookings, through the ledger."""
 
 import hashlib
 import time
@@ -31,15 +31,15 @@
     """A call that runs at most once.
 
     Attributes:
-        request_id: Unique id given by this gateway.
-        workspace: Whose call it is.
+        request_id: Unique id assigned by this gateway.
+        workspace: Name of the caller's workspace.
         key: The caller's idempotency key, or None.
         method: HTTP method.
         path: Path and query below the service.
-        headers: Headers to pass on.
-        body: Body to pass on, byte for byte.
+        headers: Headers to forward to the runner.
+        body: Body to forward, byte for byte.
         service: Name of the service.
-        timeout: Seconds the runner has for its answer.
+        timeout: Time limit for the runner's answer, in seconds.
     """
 
     request_id: str
@@ -57,12 +57,12 @@
 
 
 class Bookings:
-    """Takes bookings for one gateway.
+    """Runs the non-repeatable calls of one gateway.
 
     Args:
-        ledger: Ledger over the table service.
-        client: HTTP client to the runners.
-        rng: Spreads when refused callers come back.
+        ledger: Ledger that deduplicates the calls.
+        client: HTTP client for calls to runners.
+        rng: Random source for the jitter of retry delays.
     """
 
     def __init__(
@@ -73,12 +73,13 @@
         self._rng = rng or Random()
 
     async def book(self, call: BookingCall, place: ChooseRunner) -> Response:
-        """Run ``call`` at most once and return what to tell the caller.
+        """Run ``call`` at most once and return the response for the caller.
 
         Args:
             call: The call.
-            place: Chooses a runner; takes the name of the one that did not
-                run the call and ``refused``, or None for both at first.
+            place: Chooses a runner. Takes the name of the runner that did
+                not run the call and the kind of its failure, or None for
+                both on the first attempt.
         """
         dispatcher = _Dispatcher(self._client, call, place)
         outcome = await self._ledger.take(
@@ -91,13 +92,13 @@
     def _add_jitter(self, outcome: Outcome) -> Outcome:
         if outcome != STORE_DOWN:
             return outcome
-        # All bookings of an outage would come back in the same second, and
-        # the store, just back, would go down under them again.
+        # Without jitter all callers refused during an outage would retry in
+        # the same second and overload the store as it recovers.
         delay = compute_outage_delay(self._ledger.count_outage(), self._rng)
         return STORE_DOWN._replace(retry_after=delay)
 
     async def close(self, grace: float) -> None:
-        """Let open bookings end within ``grace`` seconds."""
+        """Wait up to ``grace`` seconds for bookings in progress to end."""
         await self._ledger.close(grace)
 
 
@@ -135,9 +136,9 @@
             may_send,
         )
         if isinstance(outcome, NotRun):
-            # Also when the runner could not be reached: to the decisions
-            # "lost" means that a call may have run, and they let no other
-            # runner have it. This one surely did not run.
+            # Never "lost", even if the runner was unreachable: placement
+            # reads "lost" as "may have run" and allows no further runner,
+            # but this call certainly did not run.
             self._failure = outcome.kind
         return outcome
 
@@ -145,8 +146,8 @@
 def make_row_key(call: BookingCall) -> str:
     """Return the key of the ledger row of ``call``.
 
-    A call without a key of its caller is claimed under its request id:
-    nobody can repeat it, and it is still dispatched at most once.
+    A call without an idempotency key is claimed under its request id: the
+    caller cannot repeat it, and it is still dispatched at most once.
     """
     kind, key = ("key", call.key)
     if call.key is None:
@@ -156,12 +157,12 @@
 
 
 def make_digest(call: BookingCall) -> str:
-    """Return the digest by which a reused key is told from a repeat."""
+    """Return the digest that tells a repeated call from a reused key."""
     digest = hashlib.sha256()
     texts = (call.service, call.method, call.path)
     for part in (*(text.encode() for text in texts), call.body):
-        # With its length before each part, no two calls that differ give
-        # the same bytes.
+        # Length prefixes make the digested bytes unambiguous: without them
+        # different calls could concatenate to the same bytes.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/lagoonpost/gateway/booking_answer.py
+++ b/lagoonpost/gateway/booking_answer.py
@@ -1,4 +1,4 @@
-"""What a caller of a booking is told for each outcome of the ledger."""
+"""Builds the response to a booking from the outcome in the ledger."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,12 +15,12 @@
 )
 from lagoonpost.tables.ledger import LedgerEntry, RecordedAnswer
 
-# A running call is over within its route's timeout, mostly much sooner.
+# A call in progress ends within its route's timeout, mostly much sooner.
 IN_PROGRESS_RETRY_SECONDS = 1.0
-# A claim older than that waits for a store outage to end, or its gateway
-# died; asking more often would not help.
+# A claim past its deadline is waiting for a store outage to end, or its
+# gateway died; more frequent retries would not help.
 OVERDUE_RETRY_SECONDS = 30.0
-# Time for a caller to check what was taken before it asks again.
+# Gives the caller time to check with the service before it retries.
 UNKNOWN_RETRY_SECONDS = 5.0
 
 
@@ -28,20 +28,20 @@
     """Return the response for ``outcome``.
 
     Args:
-        outcome: What the ledger said.
-        wall: Wall clock time, in seconds.
+        outcome: Outcome of the call in the ledger.
+        wall: Current time in seconds since the epoch.
     """
     return _ANSWERS[type(outcome)](outcome, wall)
 
 
 def _ran(outcome: Ran, wall: float) -> Response:
-    return _pass(outcome.answer)
+    return _return_recorded(outcome.answer)
 
 
 def _earlier(outcome: Earlier, wall: float) -> Response:
     entry = outcome.entry
     if entry.answer is not None and entry.answer.complete:
-        return _pass(entry.answer)
+        return _return_recorded(entry.answer)
     if entry.state == "recorded":
         return make_problem(
             409,
@@ -90,8 +90,8 @@
 def _refused(outcome: Refused, wall: float) -> Response:
     detail = "This call was not run."
     if outcome.retry_after is not None:
-        # An earlier call with the key may have run, and a caller that took
-        # a new key now would book twice.
+        # An earlier call with this key may have run, so a retry with a new
+        # key could book twice.
         detail += " Send it again with the same key."
     return make_problem(
         outcome.status,
@@ -115,7 +115,7 @@
     )
 
 
-def _pass(answer: RecordedAnswer) -> Response:
+def _return_recorded(answer: RecordedAnswer) -> Response:
     return Response(answer.status, answer.headers, answer.body)
 
 
--- a/lagoonpost/gateway/chat.py
+++ b/lagoonpost/gateway/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: streamed or whole, resumed, and moved to a peer."""
+"""Serves chat completions: streamed, buffered, resumed or handed over."""
 
 import asyncio
 from contextlib import aclosing, suppress
@@ -34,7 +34,7 @@
 
 PATH = "/v1/chat/completions"
 KEEP_ALIVE_CHECK_SECONDS = 1.0
-# A caller whose request crashes runners is told that it is its request.
+# A request that crashes runners is the caller's error, not the gateway's.
 _FAILED_STATUSES = {"poison": 422}
 
 
@@ -44,7 +44,7 @@
     responder: Responder,
     workspace: Workspace | None,
 ) -> None:
-    """Answer a chat-completions request, or resume one."""
+    """Answer a new chat-completions request, or resume an earlier one."""
     assert workspace is not None
     call = read_chat_call(request.body)
     if isinstance(call, InvalidCall):
@@ -68,7 +68,7 @@
             make_request_id(), workspace.name, call.service, "", call.digest
         )
         position = StreamPosition(origin, len(call.continue_tokens))
-    call = _complete_from_held(gateway, call, position)
+    call = _add_handed_over_tokens(gateway, call, position)
     await _run(gateway, call, position, route, responder)
 
 
@@ -78,51 +78,56 @@
     responder: Responder,
     workspace: Workspace | None,
 ) -> None:
-    """Answer a caller whom a leaving gateway sent here for its answer."""
+    """Answer a caller redirected here by a gateway in shutdown."""
     assert workspace is not None
     texts = parse_qs(request.query).get("token", [""])
     position = verify_event_id(gateway.signing_key, texts[0])
     request_id = request.path.rpartition("/")[2]
     if position is None or position.origin.request_id != request_id:
-        await responder.send(_make_forged())
+        await responder.send(_make_invalid_id_problem())
         return
     if position.origin.workspace != workspace.name:
-        await responder.send(_make_foreign())
+        await responder.send(_make_wrong_workspace_problem())
         return
-    call = _recall(gateway, position)
+    call = _restore_call(gateway, position)
     route = _find_chat_route(gateway, position.origin.service)
     if call is None or route is None:
-        await responder.send(_make_lost())
+        await responder.send(_make_answer_lost_problem())
         return
     await _run(gateway, call, position, route, responder)
 
 
-def _recall(gateway: Gateway, position: StreamPosition) -> ChatCall | None:
-    """Return the call of a moved request, if its gateway handed it over."""
-    held = gateway.handed_over.get(position.origin.request_id)
-    if held is None or held.workspace != position.origin.workspace:
+def _restore_call(
+    gateway: Gateway, position: StreamPosition
+) -> ChatCall | None:
+    """Return the call of a request that another gateway handed over here."""
+    handed_over = gateway.handed_over.get(position.origin.request_id)
+    if (
+        handed_over is None
+        or handed_over.workspace != position.origin.workspace
+    ):
         return None
-    call = read_chat_call(msgspec.json.encode(held.body))
+    call = read_chat_call(msgspec.json.encode(handed_over.body))
     assert isinstance(call, ChatCall), "a handed-over call was checked"
-    return call._replace(continue_tokens=held.tokens)
+    return call._replace(continue_tokens=handed_over.tokens)
 
 
-def _complete_from_held(
+def _add_handed_over_tokens(
     gateway: Gateway, call: ChatCall, position: StreamPosition
 ) -> ChatCall:
-    """Add the tokens that a leaving gateway handed over, if needed.
+    """Add handed-over tokens to a call that carries none of its own.
 
-    A caller that sends only its last event id can then go on even when
-    the runner is gone as well.
+    A caller that sends only its last event id can then resume even if the
+    runner of its answer is lost, too.
     """
-    held = gateway.handed_over.get(position.origin.request_id)
-    if call.continue_tokens or held is None:
+    handed_over = gateway.handed_over.get(position.origin.request_id)
+    if call.continue_tokens or handed_over is None:
         return call
-    if held.workspace != position.origin.workspace:
+    if handed_over.workspace != position.origin.workspace:
         return call
-    if len(held.tokens) < position.offset:
+    if len(handed_over.tokens) < position.offset:
         return call
-    return call._replace(continue_tokens=held.tokens[: position.offset])
+    return call._replace(continue_tokens=handed_over.tokens[: position.offset])
 
 
 def _find_chat_route(gateway: Gateway, name: str) -> Route | None:
@@ -138,15 +143,15 @@
     workspace: Workspace,
     call: ChatCall,
 ) -> StreamPosition | Response | None:
-    """Return where to resume, None for a new request, or a refusal."""
+    """Return the resume position, None for a new request, or a problem."""
     text = request.header("last-event-id")
     if not text:
         return None
     position = verify_event_id(gateway.signing_key, text)
     if position is None:
-        return _make_forged()
+        return _make_invalid_id_problem()
     if position.origin.workspace != workspace.name:
-        return _make_foreign()
+        return _make_wrong_workspace_problem()
     if position.origin.body_digest != call.digest:
         detail = "the event id belongs to a request with another body"
         return make_problem(409, "Another request", detail, "not_run")
@@ -156,19 +161,19 @@
     return position
 
 
-def _make_forged() -> Response:
+def _make_invalid_id_problem() -> Response:
     detail = "the event id was not given out by this system"
     return make_problem(400, "Invalid event id", detail, "not_run")
 
 
-def _make_foreign() -> Response:
-    # The same answer whether or not such a request ever was: a workspace
-    # learns nothing about another's.
+def _make_wrong_workspace_problem() -> Response:
+    # The response does not depend on whether the request exists, so that it
+    # reveals nothing about another workspace.
     detail = "the event id is not of this workspace"
     return make_problem(403, "Invalid event id", detail, "not_run")
 
 
-def _make_lost() -> Response:
+def _make_answer_lost_problem() -> Response:
     detail = "the answer is not held here any more; send the request again"
     return make_problem(410, "Answer lost", detail, "unknown", 0.0, "lost")
 
@@ -185,7 +190,7 @@
     sink = _make_sink(gateway, call, origin, responder)
     row = make_row(origin, call, route)
     gateway.answers.add(answer)
-    alive = asyncio.create_task(_keep_alive(sink))
+    keep_alive = asyncio.create_task(_keep_alive(sink))
     try:
         items = generate(gateway, answer, row, position, route)
         async with aclosing(items):
@@ -193,21 +198,21 @@
                 async for item in items:
                     await _deliver(gateway, item, sink)
             except (PeerGoneError, asyncio.CancelledError):
-                # The caller may come back for the rest at any gateway, so
-                # its runner must not drop the answer with this connection.
+                # The caller may resume at any gateway, so the runner must not
+                # drop the answer when this connection closes.
                 answer.detach()
                 raise
     except asyncio.CancelledError:
         if answer.successor is None:
             raise
-        # The cancellation came from `ActiveAnswer.move` and ends here.
+        # `ActiveAnswer.move` cancelled this task; the cancellation ends here.
         task = asyncio.current_task()
         assert task is not None
         task.uncancel()
-        alive.cancel()
+        keep_alive.cancel()
         await sink.move(answer.successor)
     finally:
-        alive.cancel()
+        keep_alive.cancel()
         gateway.answers.discard(answer)
         gateway.dispatcher.notify(Abandoned(row.id))
 
--- a/lagoonpost/gateway/daemon.py
+++ b/lagoonpost/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway process: wires its parts, starts them and stops them."""
+"""The gateway process: builds, starts and stops its components."""
 
 import asyncio
 import signal
@@ -30,20 +30,22 @@
 from lagoonpost.tables.entity import Declaration
 
 PHASE_CHECK_SECONDS = 0.1
-# An exchange takes a second at most, and the third peer asked answers.
+# A gossip exchange takes at most a second, and the third one at the latest
+# reaches a live peer.
 PEER_GRACE_SECONDS = 5.0
-# What remains of a notice for the sockets to drain after the last move.
+# Part of the notice reserved for sockets to drain after the last answer has
+# moved to another gateway.
 RECLAIM_MARGIN_SECONDS = 1.0
-# For callers to read the event that sends them to another entry.
+# Time for callers to read the redirect to another gateway.
 REDIRECT_SECONDS = 2.0
 
 
 class GatewayDaemon:
-    """One gateway, from its settings to its end.
+    """A gateway process, from its settings to its shutdown.
 
     Attributes:
-        address: Where callers connect.
-        peer_address: Where peers connect.
+        address: Address that callers connect to.
+        peer_address: Address that peers connect to.
     """
 
     def __init__(self, settings: GatewaySettings) -> None:
@@ -86,7 +88,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Serve until SIGTERM or a reclaim notice, then leave gracefully."""
+        """Serve until SIGTERM or a reclaim notice, then shut down."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
@@ -95,7 +97,7 @@
         await self.leave(self._grace)
 
     async def start(self) -> None:
-        """Listen and begin to follow the declaration."""
+        """Listen for callers and peers and start the background tasks."""
         self.address = await self._server.start(self._settings.listen)
         entry = self._settings.advertise or self.address
         self.peer_address = await self._peering.start(entry)
@@ -113,19 +115,19 @@
         )
 
     def count_answers(self) -> int:
-        """Return the number of chat requests that run here."""
+        """Return the number of chat answers in progress on this gateway."""
         return len(self._gateway.answers)
 
     def count_handed_over(self) -> int:
-        """Return the number of requests that peers handed over to here."""
+        """Return the number of requests that peers handed over here."""
         return len(self._gateway.handed_over)
 
     async def leave(self, grace: float) -> None:
-        """Take no new requests and end or move the accepted ones.
+        """Shut down: refuse new requests, finish or move accepted ones.
 
         Args:
-            grace: Seconds for them to end here; what still runs then goes
-                on at another gateway.
+            grace: Time for accepted requests to finish here, in seconds.
+                Answers still in progress then move to another gateway.
         """
         self._gateway.phase = "leaving"
         eliot.log_message(
@@ -174,12 +176,13 @@
             await asyncio.sleep(PHASE_CHECK_SECONDS)
 
     def _may_serve_by_facts(self) -> bool:
-        """Tell whether facts are current, or no peer is there to ask.
+        """Return whether facts are current or no peer is reachable.
 
-        A process that was frozen does not know which runners have left and
-        which versions were taken back since. It shows by `is_current`, which
-        turns false as soon as it runs again. Where no peer answers for a
-        while, serving by the store alone is better than not at all.
+        A process that was frozen has missed which runners have left and
+        which versions were rolled back in the meantime. `Peering.is_current`
+        reports this: it is false as soon as the process runs again. If no
+        peer answers for `PEER_GRACE_SECONDS`, serving with the store's data
+        alone is better than refusing all requests.
         """
         now = asyncio.get_running_loop().time()
         if self._peering.is_current():
--- a/lagoonpost/gateway/dispatcher.py
+++ b/lagoonpost/gateway/dispatcher.py
@@ -1,4 +1,4 @@
-"""Drives the gateway's decisions and hands their actions to requests."""
+"""Feeds events to the decision core and returns its actions to requests."""
 
 import asyncio
 from random import Random
@@ -24,7 +24,13 @@
 
 
 class Dispatcher:
-    """One loop's driver of ``decide``: events in, a future per request."""
+    """Calls ``decide`` for each event and keeps a future for each request.
+
+    Args:
+        name: Name of this gateway.
+        rng: Random source for decisions.
+        metrics: Counts placements and refusals.
+    """
 
     def __init__(self, name: str, rng: Random, metrics: Metrics) -> None:
         self.tables = GatewayTables(name)
@@ -34,7 +40,7 @@
         self._ticker: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to send ticks."""
+        """Start to send periodic ticks."""
         self._ticker = asyncio.create_task(self._tick())
 
     def close(self) -> None:
@@ -43,19 +49,19 @@
             self._ticker.cancel()
 
     def notify(self, event: Event) -> None:
-        """Give an event to the decisions and carry out their actions."""
+        """Pass an event to ``decide`` and carry out the actions it returns."""
         now = asyncio.get_running_loop().time()
         for action in decide(self.tables, event, now, self._rng):
             self._resolve(action)
 
     async def place(self, request: RequestRow) -> Dispatch | Refuse:
-        """Ask where a new request goes; waits while it is queued."""
+        """Return the placement of a new request; wait while it is queued."""
         return await self._ask(request.id, Arrived(request))
 
     async def replace(
         self, request_id: str, runner: str, kind: str
     ) -> Dispatch | Refuse:
-        """Ask for another runner after an attempt failed."""
+        """Return a new placement of a request after a failed attempt."""
         event = AttemptFailed(request_id, runner, kind, retry=True)
         return await self._ask(request_id, event)
 
--- a/lagoonpost/gateway/generation.py
+++ b/lagoonpost/gateway/generation.py
@@ -1,4 +1,4 @@
-"""Generates one answer: placement, relay, and what the decisions hear."""
+"""Generates an answer: places the request, relays and reports progress."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -36,16 +36,17 @@
 
 AnswerItem = Part | Completed | Failed | Refuse
 
-# A placeholder for tokens that only the caller has; see `generate`.
+# Placeholder for a token that only the caller has, if a resumed request does
+# not send its tokens along; see `generate`.
 UNKNOWN_TOKEN = ""
 
 
 def make_row(origin: StreamOrigin, call: ChatCall, route: Route) -> RequestRow:
-    """Return a chat request as the decisions see it."""
+    """Return the row that represents a chat request in the decision core."""
     now = asyncio.get_running_loop().time()
     return RequestRow(
-        # The same request can be resumed here while its earlier connection
-        # is not yet known to be gone, so each run has a row of its own.
+        # A caller may resume its request here before the gateway notices that
+        # the previous connection closed, so each run has its own row id.
         id=f"{origin.request_id}.{make_request_id()[:6]}",
         workspace=origin.workspace,
         service=origin.service,
@@ -68,16 +69,17 @@
     position: StreamPosition,
     route: Route,
 ) -> AsyncGenerator[AnswerItem, None]:
-    """Yield an answer's parts from ``position`` on, then how it ended.
+    """Yield the parts of an answer after ``position``, then its final result.
 
-    A resumed answer goes on at the runner that holds it. If that runner is
-    gone, another one continues behind the tokens that the caller sent
-    along. Without them the answer can't go on: other tokens sampled behind
-    the same offset would splice two answers, so it fails instead.
+    A resumed answer continues on the runner that holds its run. If that
+    runner is unavailable, another runner continues after the tokens that the
+    caller sent along. Without these tokens the answer fails: a new runner
+    would sample different tokens up to the same offset, and the caller would
+    get two answers spliced together.
     """
-    known = answer.call.continue_tokens
-    complete = len(known) >= position.offset
-    tokens = known or (UNKNOWN_TOKEN,) * position.offset
+    sent_along = answer.call.continue_tokens
+    complete = len(sent_along) >= position.offset
+    tokens = sent_along or (UNKNOWN_TOKEN,) * position.offset
     holder = _find_holder(gateway, position.origin.runner)
     if holder is None and not complete:
         yield Failed("unknown", "lost", 0.0)
@@ -96,8 +98,8 @@
         if not complete:
             return Refuse(row.id, 410, "lost", 0.0)
         if kind == "lost" and answer.relayed and answer.relayed.reached:
-            # Before the request is placed again, for the verdict decides
-            # whether it may run beside others, or at all.
+            # Must precede the new placement: the quarantine verdict decides
+            # whether the request may share a runner, or run at all.
             await gateway.quarantine.record_loss(row, failed)
         placed = await gateway.dispatcher.replace(row.id, failed.name, kind)
         attempt.begin()
@@ -178,6 +180,6 @@
         return placed
     runner = gateway.find_runner(placed.runner)
     if runner is None:
-        # The declaration changed between the decision and now.
+        # The declaration changed after the placement was decided.
         return Refuse("", 503, "no_runner", 1.0)
     return runner
--- a/lagoonpost/gateway/load.py
+++ b/lagoonpost/gateway/load.py
@@ -1,8 +1,8 @@
-"""Polls the runners of this gateway's subset for their load.
+"""Polls the runners in this gateway's subset for their load.
 
-Cache events are not asked for: an engine names blocks by hashes of its own
-tokens, which a gateway does not have. What it knows of caches is where it
-sent which prefix itself.
+Cache events are not polled: an engine identifies blocks by hashes of its own
+tokens, which the gateway does not have. The gateway estimates cache contents
+from the prefixes that it sent to each runner itself.
 """
 
 import asyncio
@@ -13,18 +13,19 @@
 from lagoonpost.systems.event import Reported
 from lagoonpost.tables.entity import Runner
 
-# Played with reports once a second, goodput at five times the capacity fell
-# from 0.98 to 0.78 (docs/design/load.md). Idle runners are asked as often: a
-# suspect request is sent to a runner that looks idle, and with reports 2 s
-# old it ran beside other gateways' drafts and cost a third runner.
+# In simulations at five times the capacity, reports once a second reduced
+# goodput from 0.98 to 0.78 (docs/design/load.md). Idle runners are polled as
+# often: a suspect request goes to a runner that looks idle, and with reports
+# 2 s old it shared the runner with other gateways' requests, so that a third
+# runner was lost.
 POLL_SECONDS = 0.25
 TICK_SECONDS = 0.125
-# Engines report with a lag that they do not state.
+# Assumed age of a report on arrival; engines do not state their lag.
 REPORT_AGE_SECONDS = 0.2
 
 
 class LoadPoll:
-    """Asks each engine of the subset, one call at a time."""
+    """Polls each engine of the subset, with one call at a time to each."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
@@ -37,9 +38,9 @@
         while True:
             now = self._loop.time()
             for runner in self._list_runners():
-                # One that hangs is asked once, and holds up no other.
-                waits = runner.name in self._pending
-                if not waits and now >= self._due.get(runner.name, 0.0):
+                # A runner that hangs gets no second call and delays no other.
+                pending = runner.name in self._pending
+                if not pending and now >= self._due.get(runner.name, 0.0):
                     self._start(runner)
             await asyncio.sleep(TICK_SECONDS)
 
--- a/lagoonpost/gateway/metrics.py
+++ b/lagoonpost/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings over statsd, and the same counts for status."""
+"""Sends counters and timings to statsd and keeps counts for the status."""
 
 from collections import Counter
 
@@ -10,7 +10,14 @@
 
 
 class Metrics:
-    """Counts what a gateway did; sends to statsd when an address is set."""
+    """Counters and timings of one gateway.
+
+    Args:
+        address: Address of the statsd server, or None to send nothing.
+
+    Attributes:
+        counts: Counter values by name, for the status page.
+    """
 
     def __init__(self, address: Address | None = None) -> None:
         self.counts: Counter[str] = Counter()
@@ -27,6 +34,6 @@
             self._client.incr(name, value)
 
     def time(self, name: str, seconds: float) -> None:
-        """Record a duration under ``name``, sent in milliseconds."""
+        """Record a duration in seconds; statsd gets it in milliseconds."""
         if self._client is not None:
             self._client.timing(name, seconds * 1000)
--- a/lagoonpost/gateway/moves.py
+++ b/lagoonpost/gateway/moves.py
@@ -1,4 +1,4 @@
-"""Carries out version moves: shares, evidence, trips and their report."""
+"""Carries out version moves: traffic shares, evidence and rollbacks."""
 
 import asyncio
 import time
@@ -24,32 +24,35 @@
 from lagoonpost.tables.request import RequestRow
 
 TICK_SECONDS = 0.25
-# Evidence says nothing any more once its interval is judged.
+# Evidence is of no use after its interval has been evaluated.
 EVIDENCE_TTL_SECONDS = 30.0
 RECORD_INTERVAL_SECONDS = 1.0
-# Failures of one runner within this time are one loss of it: an answer's
-# connection is known to be lost within seconds of the others'.
+# Failures of one runner within this time count as one loss: all connections
+# to a lost runner are found broken within seconds of one another.
 LOSS_WINDOW_SECONDS = 10.0
 STORE_PREFIX = "move/"
 
 
 def make_key(move: VersionMove) -> str:
-    """Return the key of a move, the same on all gateways."""
+    """Return the key of a move, which is the same on all gateways."""
     return f"{move.service}/{move.ticket}"
 
 
 class VersionMoves:
-    """Drives the moves that the declaration names, on one gateway.
+    """Carries out the declared version moves on one gateway.
 
-    Every gateway does the same from the same facts, so that a move goes on
-    and ends without a controller. The store keeps its row for gateways
-    that start when no peer is left who knows it.
+    All gateways compute the same shares and outcomes from the same gossiped
+    facts, so a move proceeds and ends without a controller. The store keeps
+    the row of each move for a gateway that starts when no peer has it.
 
     Args:
-        gateway: The gateway.
-        store: The platform's tables.
-        publish: Makes a fact hold on all gateways, this one included.
-        is_current: Whether peers were heard lately.
+        gateway: Gateway to apply the moves to.
+        store: Table store of the platform.
+        publish: Publishes a fact to all gateways, including this one.
+        is_current: Returns whether the facts from peers are up to date.
+
+    Attributes:
+        fact_handlers: Handlers of gossiped facts, by kind of fact.
     """
 
     def __init__(
@@ -77,14 +80,18 @@
         }
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Call `tick` periodically until cancelled."""
         while True:
             if self._gateway.phase != "starting":
                 await self.tick(time.time())
             await asyncio.sleep(TICK_SECONDS)
 
     async def tick(self, now: float) -> None:
-        """Begin, judge and end moves, and put their shares in force."""
+        """Begin, evaluate and finish moves, and apply their shares.
+
+        Args:
+            now: Current time in seconds since the epoch.
+        """
         if self._is_current():
             self._facts_current_at = now
         self._drop_replaced()
@@ -97,10 +104,10 @@
         self._update_shares(now)
 
     async def run_records(self) -> None:
-        """Write rows to the store until cancelled.
+        """Write the rows of moves to the store until cancelled.
 
-        Apart from the ticks, for a store that is slow must not keep a bad
-        version in use.
+        Separate from `run`, so that a slow store does not delay the rollback
+        of a bad version.
         """
         while True:
             for key in tuple(self._rollouts):
@@ -108,14 +115,15 @@
             await asyncio.sleep(RECORD_INTERVAL_SECONDS)
 
     def share(self, service: str) -> float:
-        """Return the new version's present share of a service here."""
+        """Return the new version's current share of a service's requests."""
         return self._shares.get(service, 0.0)
 
     def record_loss(self, runner: str) -> bool:
-        """Take in that a runner was lost; True if that is news.
+        """Record the loss of a runner; return False for a repeated report.
 
-        It is news again after ``LOST_SECONDS``, also if requests failed all
-        the while: a version that crashes at every start has to be found.
+        After ``LOSS_WINDOW_SECONDS`` a loss counts again, even if requests
+        failed all the time: otherwise a version that crashes at every start
+        would go undetected.
         """
         now = time.time()
         if now - self._lost_at.get(runner, 0.0) <= LOSS_WINDOW_SECONDS:
@@ -132,13 +140,13 @@
         failed: bool,
         slow: bool,
     ) -> None:
-        """Count how an attempt of a request went."""
+        """Record the outcome of an attempt as evidence on its version."""
         outcome = Outcome(row.route, runner.version, share, failed, slow)
         for rollout in self._find_rollouts(row.service):
             rollout.record(outcome, time.time())
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the moves for operators."""
+        """Return the state of all moves for the operators' status page."""
         now = time.time()
         return [
             {
@@ -156,10 +164,11 @@
         ]
 
     def _drop_replaced(self) -> None:
-        """Drop moves that the declaration does not name any more.
+        """Drop moves that the declaration no longer lists.
 
-        A move that was taken back and then replaced by one to another
-        version would get the new one's share for its own bad version.
+        Shares are stored by service: a move that was rolled back and then
+        replaced would otherwise apply the share of its replacement to its
+        own bad version.
         """
         declared = {make_key(move) for move in self._gateway.declaration.moves}
         for key in self._rollouts.keys() - declared:
@@ -179,8 +188,8 @@
         if row is None:
             row = self._make_row(move, now)
             body = msgspec.msgpack.encode(row)
-            # Gateways that begin at the same time publish slightly other
-            # rows; the larger one holds everywhere.
+            # Gateways that begin at the same time publish rows that differ
+            # slightly; all of them adopt the larger one.
             self._publish(Fact("move_begun", key, 1, body))
             row = self._pending_rows.get(key, row)
         service = self._gateway.find_service(move.service)
@@ -238,7 +247,7 @@
                 self._pending_rows[fact.key] = row
             return
         if fact.kind == "move_begun":
-            # Two gateways began at once: all climb by the same row.
+            # Two gateways began the move concurrently; all adopt one row.
             if rollout.row.outcome == "moving":
                 rollout.row = row
         elif rollout.merge(row):
@@ -255,7 +264,7 @@
             self._pending_reports.setdefault(key, []).append(report)
 
     def _update_shares(self, now: float) -> None:
-        """Give the decisions the shares as of now, if they changed."""
+        """Recompute the shares and apply them if they changed."""
         shares = {
             rollout.row.move.service: self._compute_share(rollout.row, now)
             for rollout in self._rollouts.values()
@@ -268,16 +277,16 @@
         )
 
     def apply_shares(self, declaration: Declaration) -> Declaration:
-        """Return the declaration with the shares of the moves under way."""
-        wanted: dict[tuple[str, str], float] = {}
+        """Return the declaration with the current shares of all moves."""
+        shares: dict[tuple[str, str], float] = {}
         for rollout in self._rollouts.values():
             move = rollout.row.move
             share = self._shares.get(move.service, 0.0)
-            wanted[move.service, move.to_version] = share
-            wanted[move.service, move.from_version] = 1.0 - share
+            shares[move.service, move.to_version] = share
+            shares[move.service, move.from_version] = 1.0 - share
         versions = tuple(
             version._replace(
-                share=wanted.get(
+                share=shares.get(
                     (version.service, version.name), version.share
                 )
             )
@@ -288,8 +297,8 @@
     def _compute_share(self, row: MoveRow, now: float) -> float:
         names = [member.name for member in self._gateway.members()]
         me = self._gateway.settings.name
-        heard = self._facts_current_at if len(names) > 1 else now
-        return compute_share(row, me, names or [me], now, heard)
+        current_at = self._facts_current_at if len(names) > 1 else now
+        return compute_share(row, me, names or [me], now, current_at)
 
     async def _read_row(self, key: str) -> MoveRow | None:
         found = await self._store.read([STORE_PREFIX + key])
@@ -298,7 +307,7 @@
         return msgspec.convert(found[0].value, type=MoveRow)
 
     async def _record(self, key: str) -> None:
-        """Write a move's row at its beginning and its end."""
+        """Write the row of a move to the store if its outcome has changed."""
         row = self._rollouts[key].row
         if self._recorded_outcomes.get(key) == row.outcome:
             return
@@ -306,8 +315,8 @@
         if isinstance(found, Unavailable):
             return
         if found[0].value is not None:
-            kept = msgspec.convert(found[0].value, type=MoveRow)
-            if kept.outcome == row.outcome:
+            stored = msgspec.convert(found[0].value, type=MoveRow)
+            if stored.outcome == row.outcome:
                 self._recorded_outcomes[key] = row.outcome
                 return
         condition = Condition(STORE_PREFIX + key, found[0].version)
--- a/lagoonpost/gateway/peering.py
+++ b/lagoonpost/gateway/peering.py
@@ -1,4 +1,4 @@
-"""What a gateway tells its peers and learns from them."""
+"""Exchanges facts, members, snapshots and requests with peers."""
 
 import asyncio
 import time
@@ -21,18 +21,26 @@
 from lagoonpost.tables.ticket import Snapshot, TicketRecord
 
 SNAPSHOT = "snapshot"
-# Peers asked for a snapshot: one that is dead and one that is behind still
-# leave one that knows.
+# With one peer dead and another one behind, a third still has the current
+# snapshot.
 MAX_SNAPSHOT_PEERS = 3
-# Less than the watch waits for all of them: one silent peer must not cost
-# the answers of the others.
+# Less than the watch waits for all fetches together, so that one silent peer
+# does not discard the replies of the others.
 FETCH_TIMEOUT_SECONDS = 0.8 * PEER_SECONDS
 LEAVING_TTL_SECONDS = 3600.0
 HANDED_OVER_TTL_SECONDS = 600.0
 
 
 class Peering:
-    """Wires a gateway to its peers: facts, members, snapshots, hand-over."""
+    """Connects a gateway to its peers.
+
+    Args:
+        settings: Settings of the gateway.
+        gateway: Shared state of the gateway.
+
+    Attributes:
+        peers: Node in the gossip group; set by `start`.
+    """
 
     def __init__(self, settings: GatewaySettings, gateway: Gateway) -> None:
         self._settings = settings
@@ -49,11 +57,18 @@
         }
 
     def set_watch(self, watch: Watch) -> None:
-        """Tell ``watch`` of newer revisions from now on."""
+        """Set the watch that is notified of newer revisions."""
         self._watch = watch
 
     async def start(self, entry: Address) -> Address:
-        """Meet the peers; callers reach this gateway at ``entry``."""
+        """Join the gossip group.
+
+        Args:
+            entry: Address at which callers reach this gateway.
+
+        Returns:
+            Address at which peers reach this gateway.
+        """
         settings = self._settings
         self.peers = Peers(
             PeerSettings(
@@ -75,32 +90,37 @@
         return address
 
     def publish(self, fact: Fact) -> None:
-        """Make a fact hold on all gateways."""
+        """Publish a fact to all gateways, including this one."""
         self.peers.publish(fact)
 
     def is_current(self) -> bool:
-        """Return whether the facts here are as new as the others'."""
+        """Return whether the facts here are as recent as those of peers."""
         return self.peers.current()
 
     def add_fact_handlers(
-        self, learners: Mapping[str, Callable[[Fact], None]]
+        self, handlers: Mapping[str, Callable[[Fact], None]]
     ) -> None:
-        """Have facts of more kinds told to ``learners``."""
-        self._fact_handlers.update(learners)
+        """Register handlers of facts, by kind of fact."""
+        self._fact_handlers.update(handlers)
 
     def publish_revision(self, record: TicketRecord) -> None:
-        """Tell all that a newer declaration was accepted here."""
+        """Announce a declaration revision that this gateway accepted."""
         name = self.peers.me.name.encode()
         self.peers.publish(Fact("revision", "", record.revision, name))
 
     def publish_leaving(self, runner: str, deadline: float) -> None:
-        """Tell all that a runner will go at ``deadline`` of the epoch."""
+        """Announce that a runner is leaving.
+
+        Args:
+            runner: Name of the runner.
+            deadline: Time of its shutdown, in seconds since the epoch.
+        """
         body = msgspec.msgpack.encode(deadline)
         end = deadline + LEAVING_TTL_SECONDS
         self.peers.publish(Fact("runner_leaving", runner, 1, body, end))
 
     def list_entries(self) -> tuple[EntryMember, ...]:
-        """Return the gateways that callers can be sent to."""
+        """Return the gateways that accept callers."""
         return tuple(
             EntryMember(row.name, row.entry, row.region, row.failure_domain)
             for row in self.peers.members()
@@ -117,18 +137,18 @@
         ]
 
     async def fetch_snapshots(self) -> Sequence[Snapshot]:
-        """Return the declarations that a few peers have in force."""
+        """Return the declaration snapshots that a few peers have in force."""
         others = self.list_others()
         self._gateway.rng.shuffle(others)
         others.sort(key=lambda row: row.name != self._accepted_by)
-        asked = [
+        fetches = [
             self._fetch_snapshot(row) for row in others[:MAX_SNAPSHOT_PEERS]
         ]
-        found = await asyncio.gather(*asked)
+        found = await asyncio.gather(*fetches)
         return [snapshot for snapshot in found if snapshot is not None]
 
     async def hand_over(self, request: HandOver) -> str | None:
-        """Give a request to a peer and return its entry address."""
+        """Hand a request to a peer; return its entry address or None."""
         others = self.list_others()
         self._gateway.rng.shuffle(others)
         for row in others:
@@ -159,10 +179,12 @@
         if self._gateway.phase != "serving":
             return False
         now = asyncio.get_running_loop().time()
-        held = self._gateway.handed_over
-        for request_id in [key for key in held if held[key].expires_at < now]:
-            del held[request_id]
-        held[request.request_id] = HandedOverRequest(
+        requests = self._gateway.handed_over
+        for request_id in [
+            key for key in requests if requests[key].expires_at < now
+        ]:
+            del requests[request_id]
+        requests[request.request_id] = HandedOverRequest(
             request.service,
             request.workspace,
             msgspec.json.decode(request.body),
@@ -173,9 +195,9 @@
 
     def _handle_facts(self, facts: Sequence[Fact]) -> None:
         for fact in facts:
-            learner = self._fact_handlers.get(fact.kind)
-            if learner is not None:
-                learner(fact)
+            handler = self._fact_handlers.get(fact.kind)
+            if handler is not None:
+                handler(fact)
 
     def _handle_revision(self, fact: Fact) -> None:
         self._accepted_by = fact.body.decode()
--- a/lagoonpost/gateway/plain.py
+++ b/lagoonpost/gateway/plain.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: idempotent ones here, others by the ledger."""
+"""Calls plain services: repeatable calls directly, others by the ledger."""
 
 import asyncio
 
@@ -31,15 +31,14 @@
 PREFIX = "/v1/services/"
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 FORWARDED_HEADERS = frozenset({"content-type", "accept", "accept-language"})
-# Part of a route's timeout that one runner has for a call that may be
-# repeated.
+# Share of the route's timeout for one attempt of a repeatable call.
 ATTEMPT_TIMEOUT_RATIO = 1 / 3
 
 
 async def call_plain(
     gateway: Gateway, workspace: Workspace, request: Request
 ) -> Response:
-    """Run a call of a plain service and return its answer byte for byte."""
+    """Call a plain service and return the body of its answer unchanged."""
     name, _, path = request.path[len(PREFIX) :].partition("/")
     service = gateway.find_service(name)
     if service is None or service.kind != "plain":
@@ -92,7 +91,7 @@
     target: str,
 ) -> Response:
     until = row.arrived + route.timeout
-    tried = _AttemptResults()
+    results = _AttemptResults()
     placed = await gateway.dispatcher.place(row)
     attempt = Attempt(gateway, row, route)
     while isinstance(placed, Dispatch):
@@ -101,30 +100,31 @@
         if runner is None or left <= 0:
             failed = AttemptFailed(row.id, placed.runner, "lost", retry=False)
             gateway.dispatcher.notify(failed)
-            return tried.make_final_response(
+            return results.make_final_response(
                 Refuse(row.id, 504, "timeout", 1.0)
             )
-        # A frozen runner would use up the whole time; a third of it leaves
-        # two more runners to ask, and is long beside the target.
+        # Without a limit per attempt, a frozen runner would use up the whole
+        # timeout. A third of it leaves time for two more runners and is long
+        # compared with the latency target.
         timeout = min(left, route.timeout * ATTEMPT_TIMEOUT_RATIO)
         kind = await _try_runner(
-            gateway, runner, row, request, target, timeout, tried
+            gateway, runner, row, request, target, timeout, results
         )
         if kind is None:
             attempt.record_answer(runner)
             gateway.dispatcher.notify(Finished(row.id, runner.name, 1))
-            return tried.answer
+            return results.answer
         attempt.record_failure(runner, kind)
         attempt.begin()
         placed = await gateway.dispatcher.replace(row.id, runner.name, kind)
-    return tried.make_final_response(placed)
+    return results.make_final_response(placed)
 
 
 class _AttemptResults:
-    """What came of a call's attempts so far.
+    """Results of the attempts of one call.
 
     Attributes:
-        answer: The last answer of a runner; status 0 before the first.
+        answer: Last answer of a runner; its status is 0 before the first.
         may_have_run: Whether a runner may have run the call.
     """
 
@@ -133,9 +133,9 @@
         self.may_have_run = False
 
     def make_final_response(self, refusal: Refuse) -> Response:
-        """Return what to tell the caller when no attempt is left."""
+        """Return the response for the caller after the last attempt."""
         if self.answer.status:
-            # The service's own words on its failure say more than ours.
+            # The service's own error is more specific than the gateway's.
             return self.answer
         return make_refusal(
             refusal, "unknown" if self.may_have_run else "not_run"
@@ -149,7 +149,7 @@
     request: Request,
     target: str,
     timeout: float,
-    tried: _AttemptResults,
+    results: _AttemptResults,
 ) -> str | None:
     """Call one runner; return the kind of its failure, or None."""
     try:
@@ -162,12 +162,12 @@
             timeout=timeout,
         )
     except CallFailedError as error:
-        tried.may_have_run = tried.may_have_run or error.sent
+        results.may_have_run = results.may_have_run or error.sent
         return "lost" if error.sent else "unreached"
     if is_refusal(answer):
         return "refused"
-    tried.may_have_run = True
-    tried.answer = Response(
+    results.may_have_run = True
+    results.answer = Response(
         answer.status, _make_response_headers(answer), answer.body
     )
     return "failed" if answer.status >= 500 else None
@@ -224,8 +224,8 @@
 def _record_booking(
     attempt: Attempt, runner: Runner, answer: Response
 ) -> None:
-    # A problem of ours about a call that may have run is the runner's fault;
-    # one about a call that was not run says nothing of it.
+    # A gateway problem with execution "unknown" means that the runner failed;
+    # "not_run" says nothing about the runner.
     execution = read_execution(answer.headers, answer.body)
     if execution == "unknown":
         attempt.record_failure(runner, "failed")
@@ -234,7 +234,7 @@
 
 
 def select_forwarded_headers(request: Request, request_id: str) -> Headers:
-    """Return the headers that a runner gets of the caller's."""
+    """Return the request headers to forward to a runner."""
     kept = tuple(
         (name, value)
         for name, value in request.headers
@@ -247,24 +247,24 @@
     key = request.header("idempotency-key")
     if key is None:
         return ()
-    # Two workspaces may choose the same key; to a runner that keeps keys
-    # as well these must be two calls.
+    # Workspaces may choose the same key. The prefix keeps their calls apart at
+    # a runner that deduplicates by key itself.
     return (("idempotency-key", f"{row.workspace}/{key}"),)
 
 
 def _make_response_headers(answer: Response) -> Headers:
     kept = drop_connection_headers(answer.headers)
-    # A check that some cache on the way kept would tell the caller
-    # yesterday's date, so no answer may be kept.
+    # A cache between the gateway and the caller must not store answers: the
+    # caller would get an outdated result.
     return (*kept, ("cache-control", "no-store"))
 
 
 def make_refusal(action: Refuse, execution: Execution = "not_run") -> Response:
-    """Return the answer to a request that the decisions refused.
+    """Return the response to a request that was refused placement.
 
     Args:
         action: The refusal.
-        execution: Whether an earlier attempt of the request was run.
+        execution: Whether an earlier attempt of the request ran.
     """
     return make_problem(
         action.status,
--- a/lagoonpost/gateway/prompt.py
+++ b/lagoonpost/gateway/prompt.py
@@ -1,32 +1,33 @@
-"""What a chat request costs and which prefixes it shares, estimated."""
+"""Parses chat requests and estimates their cost and shared prefixes."""
 
 from typing import Any, NamedTuple
 
 import msgspec
 import xxhash
 
-# The engines do not say how they split text. Four bytes a token is the
-# usual figure for Latin scripts; admission needs proportions, not counts.
+# Engines do not publish their tokenizers. Four bytes per token is the usual
+# estimate for Latin scripts; admission needs proportions, not exact counts.
 BYTES_PER_TOKEN = 4
 PREFIX_BLOCK_TOKENS = 64
 PREFIX_BLOCK_BYTES = PREFIX_BLOCK_TOKENS * BYTES_PER_TOKEN
-# Longer prompts are told apart well enough by their first 16,384 tokens.
+# The first 16,384 tokens distinguish longer prompts well enough.
 MAX_PREFIX_BLOCKS = 256
 DEFAULT_OUTPUT_TOKENS = 256
 MAX_OUTPUT_TOKENS = 32768
 
 
 class ChatCall(NamedTuple):
-    """The checked parts of a chat-completions request.
+    """A validated chat-completions request.
 
     Attributes:
-        service: The declared service, from ``model``.
-        body: The whole request as sent, without lagoonpost's extensions.
+        service: Name of the service, from ``model``.
+        body: Request as sent, without the extensions of lagoonpost.
         stream: Whether the caller wants server-sent events.
-        max_tokens: Most tokens to generate.
-        continue_tokens: Tokens the caller already has of a lost stream.
-        digest: Digest of ``body``, equal for the same request.
-        prompt: The messages as bytes, for prefixes and costs.
+        max_tokens: Maximum number of tokens to generate.
+        continue_tokens: Tokens that the caller already received of an
+            interrupted stream.
+        digest: Digest of ``body``, equal for equal requests.
+        prompt: Encoded messages, for prefix hashes and cost estimates.
     """
 
     service: str
@@ -39,7 +40,7 @@
 
 
 class InvalidCall(NamedTuple):
-    """Why a body is not a chat-completions request."""
+    """The reason why a body is not a valid chat-completions request."""
 
     detail: str
 
@@ -53,7 +54,7 @@
 
 
 def read_chat_call(body: bytes) -> ChatCall | InvalidCall:
-    """Check and read the body of a chat-completions request."""
+    """Parse and validate the body of a chat-completions request."""
     try:
         shape = msgspec.json.decode(body, type=_ChatRequest)
         whole = msgspec.json.decode(body)
@@ -79,10 +80,10 @@
 
 
 def hash_prefixes(service: str, prompt: bytes) -> tuple[int, ...]:
-    """Return the hashes of the prompt's growing prefixes, shortest first.
+    """Return a hash for each block-aligned prefix of a prompt, shortest first.
 
-    Each hash covers all blocks up to its own, so that two prompts share a
-    hash only if they share everything before it.
+    Each hash covers all preceding blocks, so two prompts share a hash only
+    if they share the whole prefix.
     """
     state = xxhash.xxh3_64(service.encode())
     hashes = []
@@ -97,5 +98,5 @@
 
 
 def count_prompt_tokens(prompt: bytes) -> int:
-    """Return the estimated number of tokens of a prompt."""
+    """Return the estimated number of tokens in a prompt."""
     return len(prompt) // BYTES_PER_TOKEN + 1
--- a/lagoonpost/gateway/quarantine.py
+++ b/lagoonpost/gateway/quarantine.py
@@ -1,4 +1,4 @@
-"""Gathers lost runners and completions, and spreads what they prove."""
+"""Collects evidence on requests that crash runners and shares verdicts."""
 
 import asyncio
 import time
@@ -14,22 +14,25 @@
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.request import RequestRow
 
-# Longer than a caller goes on resending, and a bound on what is held.
+# Longer than any caller keeps retrying a request; also bounds the memory used
+# for evidence.
 EVIDENCE_TTL_SECONDS = 24 * 3600.0
-# Twenty times the time that a fact takes to all gateways (10 to 25 ms over
-# loopback); the connections of a dead process are closed in no time.
+# Twenty times the time that a fact needs to reach all gateways (10 to 25 ms
+# over loopback). Loss detection adds almost nothing, since the connections of
+# a dead process close at once.
 SETTLE_SECONDS = 0.5
 CLOCK_SLACK_SECONDS = 0.01
-# A conviction outranks each time, in milliseconds, of a completion.
+# Fact rank of a conviction: higher than that of any completion, which is its
+# time in milliseconds.
 _CONVICTION_RANK = 2**62
 
 
 class QuarantineTracker:
-    """One gateway's evidence on requests that crash runners.
+    """Tracks requests that crash runners, on one gateway.
 
     Args:
-        gateway: Whose requests are judged.
-        publish: Spreads a fact to the other gateways.
+        gateway: Gateway whose requests are tracked.
+        publish: Publishes a fact to the other gateways.
     """
 
     def __init__(
@@ -42,16 +45,22 @@
         self._unsettled_since: dict[str, float] = {}
 
     async def record_loss(self, row: RequestRow, runner: Runner) -> None:
-        """Take in that a runner was lost under a request.
+        """Record that a runner was lost while it ran a request.
 
-        Returns when the verdict on the request stands.
+        Returns once the verdict on the request is settled.
+
+        Args:
+            row: The request.
+            runner: The lost runner.
         """
-        # Who left as announced was not crashed by what it ran.
+        # A runner that left as announced was not crashed by the request.
         if self._gateway.is_leaving(runner.name):
             return
         now = time.time()
-        beside = self._count_concurrent(row, runner)
-        loss = Loss(row.fingerprint, runner.name, runner.version, now, beside)
+        concurrent = self._count_concurrent(row, runner)
+        loss = Loss(
+            row.fingerprint, runner.name, runner.version, now, concurrent
+        )
         if not self._get_quarantine(row.service).add(loss):
             return
         key = f"{row.service}/{row.fingerprint}/{runner.name}"
@@ -65,12 +74,12 @@
             self._update_verdicts(row.service)
 
     def record_completion(self, row: RequestRow) -> None:
-        """Take in that a request completed."""
-        case = self._quarantines.get(row.service)
-        if case is None or not case.is_suspect(row.fingerprint):
+        """Record that a request completed."""
+        quarantine = self._quarantines.get(row.service)
+        if quarantine is None or not quarantine.is_suspect(row.fingerprint):
             return
         now = time.time()
-        case.record_completion(row.fingerprint, now)
+        quarantine.record_completion(row.fingerprint, now)
         key = f"{row.service}/{row.fingerprint}"
         rank = int(now * 1000)
         end = now + EVIDENCE_TTL_SECONDS
@@ -78,15 +87,15 @@
         self._update_verdicts(row.service)
 
     def handle_fact(self, fact: Fact) -> None:
-        """Take in what another gateway saw."""
+        """Apply a loss, completion or conviction from another gateway."""
         service, fingerprint, *_ = fact.key.split("/")
-        case = self._get_quarantine(service)
+        quarantine = self._get_quarantine(service)
         if fact.kind == "crash_seen":
-            case.add(msgspec.msgpack.decode(fact.body, type=Loss))
+            quarantine.add(msgspec.msgpack.decode(fact.body, type=Loss))
         elif fact.rank == _CONVICTION_RANK:
-            case.record_conviction(fingerprint)
+            quarantine.record_conviction(fingerprint)
         else:
-            case.record_completion(fingerprint, fact.rank / 1000)
+            quarantine.record_completion(fingerprint, fact.rank / 1000)
         self._update_verdicts(service)
 
     def _get_quarantine(self, service: str) -> Quarantine:
@@ -101,39 +110,39 @@
         )
 
     def _update_verdicts(self, service: str) -> None:
-        """Tell the decisions which verdicts have changed."""
-        case = self._quarantines[service]
-        case.expire(time.time() - EVIDENCE_TTL_SECONDS)
+        """Recompute the verdicts on a service and publish changed ones."""
+        quarantine = self._quarantines[service]
+        quarantine.expire(time.time() - EVIDENCE_TTL_SECONDS)
         serving = {
             version.name
             for version in self._gateway.declaration.versions
             if version.service == service and version.share > 0
         }
-        before = self._verdicts.get(service, {})
-        after = dict[str, str](case.compute_verdicts(serving))
-        for fingerprint in before.keys() | after.keys():
-            if after.get(fingerprint) != "refused":
+        old_verdicts = self._verdicts.get(service, {})
+        verdicts = dict[str, str](quarantine.compute_verdicts(serving))
+        for fingerprint in old_verdicts.keys() | verdicts.keys():
+            if verdicts.get(fingerprint) != "refused":
                 self._unsettled_since.pop(fingerprint, None)
             elif not self._is_settled(service, fingerprint):
-                after[fingerprint] = "alone"
-        self._verdicts[service] = after
-        for fingerprint in before.keys() | after.keys():
-            verdict = after.get(fingerprint, "free")
-            if verdict == before.get(fingerprint, "free"):
+                verdicts[fingerprint] = "alone"
+        self._verdicts[service] = verdicts
+        for fingerprint in old_verdicts.keys() | verdicts.keys():
+            verdict = verdicts.get(fingerprint, "free")
+            if verdict == old_verdicts.get(fingerprint, "free"):
                 continue
             self._publish_verdict(
                 service,
                 fingerprint,
                 verdict,
-                case.find_versions_to_avoid(fingerprint),
+                quarantine.find_versions_to_avoid(fingerprint),
             )
 
     def _is_settled(self, service: str, fingerprint: str) -> bool:
-        """Tell whether a conviction is old enough to be pronounced.
+        """Return whether a refusal has settled and may take effect.
 
-        Two suspects on one runner, each sent by another gateway, both look
-        as if they had been alone on it until both losses are known
-        everywhere. Without the wait the innocent one is refused for good.
+        Two suspect requests that different gateways sent to one runner both
+        seem to have been alone on it until all gateways know of both losses.
+        Without the wait, the innocent request would be refused for good.
         """
         if self._verdicts.get(service, {}).get(fingerprint) == "refused":
             return True
@@ -171,7 +180,7 @@
             self._stop_answers(fingerprint)
 
     def _stop_answers(self, fingerprint: str) -> None:
-        # What still runs elsewhere would take its runner down as well.
+        # An attempt still running on another runner would crash it as well.
         for answer in tuple(self._gateway.answers):
             if answer.call.digest == fingerprint and answer.relayed:
                 answer.relayed.give_up("poison", None)
--- a/lagoonpost/gateway/reclaim.py
+++ b/lagoonpost/gateway/reclaim.py
@@ -1,4 +1,4 @@
-"""Reclaim notices: who leaves, and what that does to running answers."""
+"""Handles reclaim notices and moves answers off runners that leave."""
 
 import asyncio
 import time
@@ -11,22 +11,23 @@
 from lagoonpost.store.store import Unavailable
 from lagoonpost.systems.event import Leaving
 
-# A leaving endpoint may get no new work after a few seconds, and the cloud
-# gives only seconds of notice, so each one counts.
+# The cloud gives only seconds of notice, and within a few seconds a leaving
+# runner must get no new work, so notices are polled often.
 POLL_SECONDS = 0.5
-# A notice that is past says nothing of a host that has its name again.
+# An expired notice does not apply to a new host that reuses the name.
 EXPIRED_NOTICE_SECONDS = 60.0
 
 
 class NoticeWatch:
-    """Polls the platform's notices and tells each one once.
+    """Polls the platform's reclaim notices and reports each one once.
 
     Args:
-        gateway: The gateway whose runners it looks for.
+        gateway: Gateway whose declared runners are matched with notices.
         host: Host that this process runs on.
-        on_runner: Called with a runner's name and its end in seconds since
-            the epoch.
-        on_self: Called with the end of this process's own host.
+        on_runner: Called for a runner on a reclaimed host, with its name and
+            the deadline in seconds since the epoch.
+        on_own_host: Called with the deadline, in seconds since the epoch, if
+            the host of this process is reclaimed.
     """
 
     def __init__(
@@ -66,22 +67,25 @@
             )
             if notice.host == self._host:
                 self._on_own_host(notice.deadline)
-        # At each poll: the declaration may name a runner of the host only
-        # after the notice was seen, as when this gateway has just started.
+        # Repeated at each poll: a runner of the host may be declared after the
+        # notice was first seen, for example while the gateway starts.
         for runner in self._gateway.declaration.runners:
-            told = (runner.name, notice.deadline)
-            if runner.host == notice.host and told not in self._notified:
-                self._notified.add(told)
+            notification = (runner.name, notice.deadline)
+            if (
+                runner.host == notice.host
+                and notification not in self._notified
+            ):
+                self._notified.add(notification)
                 self._on_runner(runner.name, notice.deadline)
 
 
 def mark_runner_leaving(gateway: Gateway, runner: str, seconds: float) -> None:
-    """Send no new work to a runner and move its answers off it.
+    """Stop sending work to a runner and move its answers to other runners.
 
     Args:
-        gateway: The gateway.
-        runner: Name of the runner that will go.
-        seconds: Time until it goes.
+        gateway: Gateway to update.
+        runner: Name of the runner that is leaving.
+        seconds: Time until its shutdown, in seconds.
     """
     if runner in gateway.leaving_runners:
         return
--- a/lagoonpost/gateway/server.py
+++ b/lagoonpost/gateway/server.py
@@ -1,4 +1,4 @@
-"""Takes the callers' requests: keys, phases and one table of routes."""
+"""Routes HTTP requests after checking the phase and the caller's key."""
 
 from collections.abc import Awaitable, Callable
 from typing import Literal, NamedTuple
@@ -18,15 +18,20 @@
     [Gateway, Request, Responder, Workspace | None], Awaitable[None]
 ]
 
-# Where to come back to after a refusal by a gateway that is leaving or
-# not yet current: other entries serve already, so soon.
+# Retry delay after a refusal by a gateway that is leaving or not yet current;
+# short, because other entries are already serving.
 PHASE_RETRY_SECONDS = 1.0
 
 
 class HttpRoute(NamedTuple):
-    """One entry of the route table; ``path`` may end in ``*``.
-
-    ``serving`` says that it needs a gateway that serves.
+    """One row of the HTTP route table.
+
+    Attributes:
+        method: HTTP method, or ``*`` for any.
+        path: Path; a trailing ``*`` matches any suffix.
+        access: Kind of key that the caller needs.
+        needs_serving: Whether the gateway must be in phase ``serving``.
+        handler: Answers the request.
     """
 
     method: str
@@ -67,8 +72,8 @@
     responder: Responder,
     workspace: Workspace | None,
 ) -> None:
-    known = find_workspace(gateway.declaration, request)
-    name = known.name if known else ""
+    found = find_workspace(gateway.declaration, request)
+    name = found.name if found else ""
     await responder.send(entries.list_entries(gateway, name))
 
 
@@ -114,17 +119,17 @@
 
 
 def find_http_route(request: Request) -> HttpRoute | Response:
-    """Return the endpoint of a request, or why there is none."""
-    known = False
-    for endpoint in HTTP_ROUTES:
-        prefix = endpoint.path.removesuffix("*")
-        matches = request.path == endpoint.path or (
-            prefix != endpoint.path and request.path.startswith(prefix)
+    """Return the route of a request, or a problem if there is none."""
+    path_exists = False
+    for route in HTTP_ROUTES:
+        prefix = route.path.removesuffix("*")
+        matches = request.path == route.path or (
+            prefix != route.path and request.path.startswith(prefix)
         )
-        if matches and endpoint.method in (request.method, "*"):
-            return endpoint
-        known = known or matches
-    if known:
+        if matches and route.method in (request.method, "*"):
+            return route
+        path_exists = path_exists or matches
+    if path_exists:
         return make_problem(
             405,
             "Method not allowed",
@@ -139,17 +144,17 @@
 async def handle(
     gateway: Gateway, request: Request, responder: Responder
 ) -> None:
-    """Answer one request; the server's handler."""
-    endpoint = find_http_route(request)
-    if isinstance(endpoint, Response):
-        await responder.send(endpoint)
+    """Answer one request; called by the HTTP server."""
+    route = find_http_route(request)
+    if isinstance(route, Response):
+        await responder.send(route)
         return
-    allowed = _check_access(gateway, endpoint, request)
+    allowed = _check_access(gateway, route, request)
     if isinstance(allowed, Response):
         await responder.send(allowed)
         return
     try:
-        await endpoint.handler(gateway, request, responder, allowed)
+        await route.handler(gateway, request, responder, allowed)
     except PeerGoneError:
         gateway.metrics.count("caller_gone")
         eliot.log_message(
@@ -159,9 +164,9 @@
 
 
 def _check_access(
-    gateway: Gateway, endpoint: HttpRoute, request: Request
+    gateway: Gateway, route: HttpRoute, request: Request
 ) -> Workspace | Response | None:
-    if endpoint.needs_serving and gateway.phase != "serving":
+    if route.needs_serving and gateway.phase != "serving":
         return make_problem(
             503,
             "Not serving",
@@ -170,10 +175,10 @@
             retry_after=PHASE_RETRY_SECONDS,
             reason=gateway.phase,
         )
-    if endpoint.access == "workspace":
+    if route.access == "workspace":
         workspace = find_workspace(gateway.declaration, request)
         return workspace or _make_unauthorized("a workspace's")
-    if endpoint.access == "operator" and not find_operator(
+    if route.access == "operator" and not find_operator(
         gateway.settings.operator_digests, gateway.declaration, request
     ):
         return _make_unauthorized("an operator's")
--- a/lagoonpost/gateway/shutdown.py
+++ b/lagoonpost/gateway/shutdown.py
@@ -1,4 +1,4 @@
-"""What a leaving gateway does with the answers that still run."""
+"""Hands over answers still in progress when a gateway shuts down."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 
 async def move_answers(gateway: Gateway, peering: Peering) -> None:
-    """Hand every running answer to a peer and send its caller there.
+    """Hand every answer in progress to a peer and redirect its caller there.
 
-    An answer that no peer takes stays here until the process ends: its
-    caller is better served by the last seconds than by nothing.
+    An answer that no peer accepts continues here until the process ends: a
+    few more seconds of it are worth more to the caller than none.
     """
     answers = tuple(gateway.answers)
     await asyncio.gather(
--- a/lagoonpost/gateway/state.py
+++ b/lagoonpost/gateway/state.py
@@ -1,4 +1,4 @@
-"""What the handlers of one gateway share."""
+"""State that the request handlers of one gateway share."""
 
 import asyncio
 import secrets
@@ -30,7 +30,14 @@
 
 
 class EntryMember(NamedTuple):
-    """A gateway that callers can be sent to."""
+    """A gateway that accepts callers.
+
+    Attributes:
+        name: Name of the gateway.
+        address: Entry address for callers.
+        region: Region of the gateway.
+        failure_domain: Failure domain of the gateway.
+    """
 
     name: str
     address: str
@@ -39,7 +46,14 @@
 
 
 class Gateway:
-    """Tables, clients and phase of one gateway process."""
+    """Shared state of one gateway process: tables, clients and phase.
+
+    Attributes:
+        answers: Chat answers in progress.
+        handed_over: Requests that peers handed over, by request id.
+        leaving_runners: Names of the runners known to leave.
+        members: Returns the gateways that accept callers.
+    """
 
     tickets: TicketHandlers
     bookings: Bookings
@@ -66,22 +80,22 @@
         self.members: Callable[[], tuple[EntryMember, ...]] = tuple
 
     def is_leaving(self, runner: str) -> bool:
-        """Tell whether a runner is known to go."""
+        """Return whether a runner is known to be leaving."""
         return runner in self.leaving_runners
 
     def describe_runner(self, runner: str) -> str:
-        """Return a runner's state in a word, for operators."""
+        """Return the state of a runner for the operators' status page."""
         return "leaving" if self.is_leaving(runner) else "serving"
 
     def find_service(self, name: str) -> Service | None:
-        """Return the declared service of this name."""
+        """Return the declared service with this name, if any."""
         for service in self.declaration.services:
             if service.name == name:
                 return service
         return None
 
     def find_runner(self, name: str) -> Runner | None:
-        """Return the declared runner of this name."""
+        """Return the declared runner with this name, if any."""
         for runner in self.declaration.runners:
             if runner.name == name:
                 return runner
@@ -89,7 +103,7 @@
 
 
 def find_route(service: Service, path: str) -> Route | None:
-    """Return the route of a service that covers ``path``."""
+    """Return the route of a service that matches ``path``, if any."""
     for route in service.routes:
         if route.path == path:
             return route
@@ -99,5 +113,5 @@
 
 
 def make_request_id() -> str:
-    """Return a new request id of 96 random bits."""
+    """Return a random request id of 96 bits."""
     return secrets.token_hex(12)
--- a/lagoonpost/gateway/status.py
+++ b/lagoonpost/gateway/status.py
@@ -1,4 +1,4 @@
-"""Health, readiness and the operators' view of one gateway."""
+"""Health, readiness and status endpoints of one gateway."""
 
 import asyncio
 from collections import Counter
@@ -8,12 +8,12 @@
 
 
 async def get_health(gateway: Gateway, request: Request) -> Response:
-    """Answer 200 while the process works, also while it leaves."""
+    """Return 200 while the process runs, even during its shutdown."""
     return make_json_response(200, {"phase": gateway.phase})
 
 
 async def get_ready(gateway: Gateway, request: Request) -> Response:
-    """Answer 200 only while new requests are taken."""
+    """Return 200 only while the gateway accepts new requests."""
     status = 200 if gateway.phase == "serving" else 503
     return make_json_response(
         status,
@@ -25,7 +25,7 @@
 
 
 async def get_status(gateway: Gateway, request: Request) -> Response:
-    """Return counts, members and runners as this gateway sees them."""
+    """Return this gateway's counts, members, runners and moves."""
     now = asyncio.get_running_loop().time()
     runners = [
         {
--- a/lagoonpost/gateway/stream.py
+++ b/lagoonpost/gateway/stream.py
@@ -1,4 +1,4 @@
-"""One caller's event stream: signed ids, visible life, a clear end."""
+"""Event stream of one answer: signed ids, keep-alives, an explicit end."""
 
 import asyncio
 import time
@@ -11,8 +11,8 @@
 from lagoonpost.http.responder import Responder
 from lagoonpost.runners.answer import Completed, Part
 
-# A teacher whose assistant went quiet gave up: callers and the proxies
-# before them take 15 s without a byte for a dead connection.
+# Callers, and proxies between them and the gateway, give up on a connection
+# after 15 s without a byte.
 KEEP_ALIVE_SECONDS = 5.0
 STREAM_HEADERS: Headers = (
     ("content-type", "text/event-stream"),
@@ -23,12 +23,13 @@
 
 
 class StreamingAnswerSink:
-    """Writes one answer as chat-completion chunks.
+    """Streams an answer as chat-completion chunks.
 
     Args:
-        responder: The caller's open response.
+        responder: Responder of the caller's request.
         key: Key that signs event ids.
-        origin: The answer; its runner changes when the answer moves.
+        origin: Identity of the answer; its runner is updated whenever
+            another runner continues the answer.
     """
 
     def __init__(
@@ -46,7 +47,8 @@
             "created": int(time.time()),
             "model": origin.service,
         }
-        # All but the text is the same in each chunk of a stream.
+        # Only the text differs between the chunks of a stream, so the rest is
+        # encoded once.
         self._head = _encode(head)[:-1]
         self._text_prefix = (
             self._head + b',"choices":[{"index":0,"delta":{"content":'
@@ -54,7 +56,7 @@
         self._text_suffix = b'},"finish_reason":null}]}\n\n'
 
     async def write_part(self, part: Part) -> None:
-        """Send the tokens that one read from the runner brought."""
+        """Send the tokens of one read from the runner."""
         if part.runner != self._origin.runner:
             self._origin = self._origin._replace(runner=part.runner)
             self._signer = EventSigner(self._key, self._origin)
@@ -71,12 +73,12 @@
         await self._write(data)
 
     async def keep_alive(self) -> None:
-        """Send a comment if nothing was sent for a while."""
+        """Send a comment if the stream was idle for `KEEP_ALIVE_SECONDS`."""
         if self._loop.time() - self._last_write_at >= KEEP_ALIVE_SECONDS:
             await self._write(b": alive\n\n")
 
     async def complete(self, completed: Completed) -> None:
-        """Send the closing chunk; only this makes a stream whole."""
+        """Send the final chunk; a stream without it is incomplete."""
         choice = {
             "index": 0,
             "delta": {},
@@ -88,13 +90,13 @@
         await self._responder.finish()
 
     async def move(self, entry: str) -> None:
-        """Tell the caller where to resume, and close."""
+        """Send the entry at which to resume, and close the stream."""
         data = _encode({"entry": entry})
         await self._write(b"event: moved\ndata: %b\n\n" % data)
         await self._responder.finish()
 
     async def fail(self, problem: Response) -> None:
-        """Send a problem: as the response, or as the last event."""
+        """Send a problem as the response, or as the last event if started."""
         if not self._responder.started:
             await self._responder.send(problem)
             return
--- a/lagoonpost/gateway/tickets.py
+++ b/lagoonpost/gateway/tickets.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: tickets and the declaration in force."""
+"""HTTP interface for operators: tickets and the declaration in force."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -33,7 +33,7 @@
 TICKETS_PATH = "/v1/tickets"
 DECLARATION_PATH = "/v1/declaration"
 RETRY_SECONDS = 2
-"""When to come back after the store failed: one poll and one try of ours."""
+"""Retry delay after a store failure: covers one poll and one retry here."""
 MAX_PAGE_SIZE = 100
 _STATUS = {
     "number_taken": 409,
@@ -44,13 +44,13 @@
 
 
 class TicketHandlers:
-    """Handles the operators' requests; the caller has checked their key.
+    """Handles requests of operators, whose key was checked before.
 
     Args:
-        intake: Commits tickets.
-        watch: What is in force on this gateway.
-        publish: Sends an accepted ticket to peers, without waiting.
-        clock: Seconds since the epoch.
+        intake: Commits tickets to the store.
+        watch: Holds the declaration in force on this gateway.
+        publish: Announces an accepted ticket to peers without waiting.
+        clock: Returns the time in seconds since the epoch.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._clock = clock
 
     async def handle(self, request: Request, operator: str) -> Response:
-        """Answer a request for one of this module's paths."""
+        """Answer a request for a ticket or declaration path."""
         if request.path == DECLARATION_PATH and request.method == "GET":
             return self.show_declaration(request)
         if request.path == TICKETS_PATH and request.method == "POST":
@@ -79,7 +79,7 @@
         return _make_problem(404, "not_found", "no such resource", "not_run")
 
     async def submit(self, request: Request, operator: str) -> Response:
-        """POST /v1/tickets: take a ticket."""
+        """POST /v1/tickets: submit a ticket."""
         try:
             content = msgspec.json.decode(request.body)
         except msgspec.DecodeError as error:
@@ -97,7 +97,7 @@
         return _make_response(outcome)
 
     async def show_ticket(self, number: int) -> Response:
-        """GET /v1/tickets/N: one accepted ticket."""
+        """GET /v1/tickets/N: return one accepted ticket."""
         record = await self._intake.find(number)
         if isinstance(record, Unavailable):
             return _make_response(NotRun(record.detail))
@@ -107,7 +107,7 @@
         return make_json_response(200, format_record(record))
 
     async def show_history(self, request: Request) -> Response:
-        """GET /v1/tickets?after=N&limit=M: accepted tickets in order."""
+        """GET /v1/tickets?after=N&limit=M: list accepted tickets in order."""
         query = parse_qs(request.query)
         after = query.get("after", ["0"])[0]
         limit = query.get("limit", [str(MAX_PAGE_SIZE)])[0]
@@ -122,7 +122,7 @@
         return make_json_response(200, {"tickets": tickets})
 
     def show_declaration(self, request: Request) -> Response:
-        """GET /v1/declaration: what is in force here; ?objects=1 in full."""
+        """GET /v1/declaration: show what is in force; ?objects=1 in full."""
         snapshot = self._watch.snapshot
         body: dict[str, Any] = {
             "revision": snapshot.revision,
--- a/lagoonpost/gateway/token.py
+++ b/lagoonpost/gateway/token.py
@@ -1,4 +1,4 @@
-"""Signed ids of stream events, with which a caller resumes anywhere."""
+"""Signed event ids, with which a caller resumes at any gateway."""
 
 import base64
 import hashlib
@@ -12,15 +12,15 @@
 
 
 class StreamOrigin(NamedTuple):
-    """Which answer an event belongs to and where it is generated.
+    """Identity of the answer that an event belongs to, and its runner.
 
     Attributes:
-        request_id: Id of the request, also the engine's stream id.
-        workspace: The only workspace that may resume it.
-        service: Service asked for.
-        runner: Runner that generated the event.
-        body_digest: Digest of the request's body; resuming with another
-            body would splice two answers.
+        request_id: Id of the request, also used as the engine's stream id.
+        workspace: The only workspace that may resume the answer.
+        service: Name of the requested service.
+        runner: Name of the runner that generated the event.
+        body_digest: Digest of the request body. Resuming with a different
+            body would splice two answers together.
     """
 
     request_id: str
@@ -31,14 +31,19 @@
 
 
 class StreamPosition(NamedTuple):
-    """A verified event id: the answer and the tokens before and with it."""
+    """Position in an answer, from a verified event id.
+
+    Attributes:
+        origin: Identity of the answer.
+        offset: Number of tokens up to and including the event's.
+    """
 
     origin: StreamOrigin
     offset: int
 
 
 class EventSigner:
-    """Makes the ids of one stream's events; cheap enough for each token."""
+    """Signs the event ids of one stream; cheap enough for every token."""
 
     def __init__(self, key: bytes, origin: StreamOrigin) -> None:
         packed = msgspec.msgpack.encode(origin)
@@ -60,7 +65,7 @@
 
 
 def verify_event_id(key: bytes, text: str) -> StreamPosition | None:
-    """Return what a signed event id says, or None if it is not ours."""
+    """Return the position in a signed event id, or None if it is invalid."""
     prefix, _, rest = text.partition(".")
     number, _, mac = rest.partition(".")
     if (
--- a/test/stack.py
+++ b/test/stack.py
@@ -1,4 +1,4 @@
-"""A small system within one event loop: stand-ins and gateways."""
+"""Test fixture: gateways and stand-ins in one event loop."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -31,7 +31,7 @@
 
 
 def play(story: Callable[["Stack"], Awaitable[_T]], **options: Any) -> _T:
-    """Run a story against a fresh stack and return its result."""
+    """Run a test scenario against a new stack and return its result."""
 
     async def run() -> _T:
         async with Stack(**options) as stack:
@@ -53,7 +53,14 @@
 
 
 class Stack:
-    """Platform, engines, one booking runner and gateways in this loop."""
+    """Platform, engines, a booking runner and gateways in one event loop.
+
+    Args:
+        gateways: Number of gateways to start.
+        engines: Number of model engines to start.
+        options: Speed and capacity of the engines.
+        grace: Shutdown grace period of each gateway, in seconds.
+    """
 
     def __init__(
         self,
@@ -116,11 +123,11 @@
         )
 
     def make_caller(self, key: str = "demo-key") -> Caller:
-        """Return a caller that knows all entries."""
+        """Return a client that is configured with all entries."""
         return Caller(self.entries, key)
 
     async def submit(self, number: int, objects: Mapping[str, Any]) -> None:
-        """Hand in a ticket and see it accepted."""
+        """Submit a ticket and check that it is accepted."""
         content = {"ticket": number, "reason": "test", **objects}
         answer = await self.call(
             "POST",
@@ -142,14 +149,14 @@
                     await asyncio.sleep(0.02)
 
     async def wait_answer(self, gateway: int = 0) -> None:
-        """Wait until a chat request runs on a gateway."""
+        """Wait until a chat answer is in progress on a gateway."""
         async with asyncio.timeout(READY_SECONDS):
             daemon = self.gateways[gateway]
             while not daemon.count_answers():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
     async def cut(self, daemon: GatewayDaemon) -> None:
-        """Close a gateway's connections at once, as a crash would."""
+        """Close a gateway's connections abruptly, as a crash does."""
         await daemon._server.close(0.0)
         await daemon._peering.peers.close()
 
@@ -202,7 +209,7 @@
         }
 
     def declare_runner(self, name: str, place: int) -> dict[str, Any]:
-        """Return the declaration of a runner of this stack."""
+        """Return the declaration of one of this stack's runners."""
         return {
             "endpoint": str(self.addresses[name]),
             "service": "booking" if name == "booking-1" else "assistant",
--- a/test/test_attempt.py
+++ b/test/test_attempt.py
@@ -17,13 +17,15 @@
 def count_failures(
     kinds: list[str], leaving: bool, monkeypatch: pytest.MonkeyPatch
 ) -> int:
-    """Return how many failures a gateway counts against the version."""
-    noted: list[bool] = []
+    """Return the number of failures recorded against the version."""
+    recorded: list[bool] = []
 
-    def note(self: VersionMoves, *args: object, **outcome: bool) -> None:
-        noted.append(outcome["failed"])
+    def record_attempt(
+        self: VersionMoves, *args: object, **outcome: bool
+    ) -> None:
+        recorded.append(outcome["failed"])
 
-    monkeypatch.setattr(VersionMoves, "record_attempt", note)
+    monkeypatch.setattr(VersionMoves, "record_attempt", record_attempt)
 
     async def story(stack: Stack) -> None:
         gateway = stack.gateways[0]._gateway
@@ -37,17 +39,17 @@
             Attempt(gateway, row, ROUTE).record_failure(RUNNER, kind)
 
     play(story, engines=1)
-    return sum(noted)
+    return sum(recorded)
 
 
 class TestNoteFailure:
     def test_a_lost_runner_counts_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The host of a good version's runner dies under twenty drafts.
+        """Guards against rolling back a good version after a host failure.
 
-        Each of them fails. Counted one by one they would take the version
-        back for what the cloud did.
+        A host fails while its runner serves twenty requests, and all of them
+        fail with it. Counted one by one they would roll the version back.
         """
         assert count_failures(["lost"] * 20, False, monkeypatch) == 1
 
--- a/test/test_booking.py
+++ b/test/test_booking.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.gateway.booking over HTTP to the stand-ins."""
+"""Tests of lagoonpost.gateway.booking over HTTP against stand-ins."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,7 +32,7 @@
 
 
 class World(AsyncExitStack):
-    """Two gateways' bookings over one platform and one service."""
+    """Two gateways that share one platform and one service."""
 
     def __init__(self, policy: LedgerPolicy = POLICY) -> None:
         super().__init__()
@@ -151,9 +151,10 @@
         play(story)
 
     def test_call_without_key_is_not_repeated(self) -> None:
-        """The runner books and dies before it answers, and no key was sent.
+        """Guards against a double booking without an idempotency key.
 
-        A gateway that tried the next runner would book twice.
+        The runner books and dies before it answers. A retry on another
+        runner would book twice.
         """
 
         async def story(world: World) -> None:
@@ -167,9 +168,10 @@
         play(story)
 
     def test_at_once_at_two_gateways_runs_once(self) -> None:
-        """A caller gives up on a slow booking and asks another gateway.
+        """Guards against a double booking by concurrent requests.
 
-        Both requests are under way together; only one may reach a runner.
+        A caller gives up on a slow booking and retries at another gateway.
+        Of the two requests in flight, only one may reach a runner.
         """
 
         async def story(world: World) -> None:
@@ -177,7 +179,7 @@
             answers = await asyncio.gather(
                 world.book(gateway=0), world.book(gateway=1)
             )
-            assert sorted(each.status for each in answers) == [200, 409]
+            assert sorted(answer.status for answer in answers) == [200, 409]
             assert get_runs(world) == 1
 
         play(story)
@@ -206,9 +208,10 @@
         play(story)
 
     def test_refused_booking_runs_on_its_next_try(self) -> None:
-        """All runners are busy, the caller is told so and tries again.
+        """Guards against a retry that is blocked by its own earlier claim.
 
-        The claim of the first try must not answer the second "in progress".
+        All runners refuse the first attempt as busy. The retry must run
+        instead of being answered "in progress".
         """
 
         async def story(world: World) -> None:
@@ -222,9 +225,10 @@
         play(story)
 
     def test_dispatch_after_its_bound_is_not_sent(self) -> None:
-        """A gateway is frozen after its claim and thawed much later.
+        """Guards against a booking that is dispatched after its deadline.
 
-        The bound has passed by then, so the booking is voided, not run.
+        A gateway freezes after its claim and resumes much later. The dispatch
+        deadline has passed by then, so the booking is voided, not run.
         """
 
         async def story(world: World) -> None:
@@ -234,7 +238,7 @@
         play(story, LedgerPolicy(dispatch_timeout=-1.0))
 
     def test_cancelled_caller_leaves_a_recorded_answer(self) -> None:
-        """A caller hangs up in the middle of its booking and asks again."""
+        """A caller disconnects during its booking and retries."""
 
         async def story(world: World) -> None:
             world.service.faults = {"slow": 0.2}
@@ -258,10 +262,10 @@
         play(story)
 
     def test_silent_store_refuses_later_bookings_at_once(self) -> None:
-        """The store swallows all calls; bookings keep coming.
+        """Guards against waiting for a store that does not reply.
 
-        The first may have left a claim, so its end is unknown. Those after
-        it are never sent to the store and are refused as not run.
+        The first booking may have left a claim, so its outcome is unknown.
+        Later bookings are refused as not run without a call to the store.
         """
 
         async def story(world: World) -> None:
@@ -278,29 +282,30 @@
         play(story)
 
     def test_callers_of_an_outage_come_back_apart(self) -> None:
-        """Twenty bookings are refused while the store is down.
+        """Guards against synchronized retries after a store outage.
 
-        Told one time to come back, all would meet the store in the second
-        in which it is back, and take it down again.
+        Twenty bookings are refused while the store is down. With one retry
+        delay, all would retry in the second in which the store recovers and
+        overload it again.
         """
 
         async def story(world: World) -> None:
             world.platform.faults = {"down": True}
             await world.book()
-            told = set()
+            delays = set()
             for number in range(20):
                 answer = await world.book(CALL._replace(key=f"key-{number}"))
-                told.add(msgspec.json.decode(answer.body)["retry_after"])
-            # Times are told in milliseconds, so that two may be the same.
-            assert len(told) > 15
+                delays.add(msgspec.json.decode(answer.body)["retry_after"])
+            # Delays are rounded to milliseconds, so two may be equal.
+            assert len(delays) > 15
 
         play(story)
 
     def test_lost_reply_to_the_void_ends_as_unknown(self) -> None:
-        """No runner is free, and the store is lost before the void.
+        """Guards against "not run" for a key that is still claimed.
 
-        "Not run" would send the caller to a key that is still claimed. The
-        void follows in the background, and then the booking runs.
+        No runner is free, and the store fails before the claim is voided.
+        The void is retried in the background; then the booking runs.
         """
 
         async def story(world: World) -> None:
@@ -320,9 +325,10 @@
         play(story)
 
     def test_answer_is_recorded_after_an_outage(self) -> None:
-        """The store is lost while the booking runs.
+        """Guards against an answer that is lost in a store outage.
 
-        The caller has its answer at once; a later repeat gets the same one.
+        The store fails while the booking runs. The caller gets its answer at
+        once, and a later repeat gets the same answer.
         """
 
         async def story(world: World) -> None:
@@ -341,7 +347,9 @@
 class TestGroupCommit:
     def test_bookings_at_once_share_transactions(self) -> None:
         async def story(world: World) -> None:
-            calls = [CALL._replace(key=f"key-{each}") for each in range(50)]
+            calls = [
+                CALL._replace(key=f"key-{number}") for number in range(50)
+            ]
             answers = await asyncio.gather(*map(world.book, calls))
             assert {answer.status for answer in answers} == {200}
             assert get_runs(world) == 50
--- a/test/test_edge.py
+++ b/test/test_edge.py
@@ -1,4 +1,4 @@
-"""Fuzzes the callers' edge of a gateway."""
+"""Fuzzes the HTTP interface of a gateway."""
 
 import asyncio
 import re
@@ -44,11 +44,11 @@
 
 
 class Running:
-    """A stack in a loop of its own, shared by all examples.
+    """A stack in an event loop of its own, shared by all examples.
 
-    The loop runs in a thread. If it ran during examples only, a busy machine
-    that takes seconds between two of them would look like a frozen host to
-    the gateway, which then rightly refuses as stale.
+    The loop runs in a thread of its own. If it ran only during examples, a
+    pause of seconds between two examples on a busy machine would look like a
+    frozen host to the gateway, which would then refuse requests as stale.
     """
 
     def __init__(self) -> None:
@@ -80,10 +80,10 @@
 
 
 def check_answer(answer: bytes) -> None:
-    """Answers are none, or whole HTTP that is no fault of the server.
+    """Check that the data is empty or complete HTTP without a server error.
 
-    There can be several: a changed length makes the rest of the body the
-    next request.
+    It may hold several responses: with a changed content length, the rest of
+    the body is parsed as the next request.
     """
     while answer:
         assert answer.startswith(b"HTTP/1.1 ")
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's HTTP interface, as callers use it."""
+"""Tests of the gateway's HTTP interface for callers."""
 
 import asyncio
 from typing import Any
@@ -32,7 +32,7 @@
 
 
 async def read_ids(stack: Stack, body: bytes, count: int) -> list[str]:
-    """Read ``count`` event ids of a stream and drop the connection."""
+    """Read ``count`` event ids of a stream, then close the connection."""
     headers = (("authorization", "Bearer demo-key"),)
     stream = await stack.client.open(
         stack.entries[0], "POST", CHAT, body, headers
@@ -50,7 +50,7 @@
 
 
 async def send_raw(entry: Address, data: bytes, *, end: bool) -> bytes:
-    """Send bytes as they are and return all that comes back."""
+    """Send raw bytes and return everything that the gateway replies."""
     reader, writer = await asyncio.open_connection(*entry)
     writer.write(data)
     if end:
@@ -96,10 +96,10 @@
             assert alone == many
 
     def test_resumes_behind_an_event_at_another_gateway(self) -> None:
-        """A caller loses its connection and goes on elsewhere.
+        """Guards against lost or repeated tokens after a lost connection.
 
-        It sends the id of the last event that it saw to another gateway,
-        which never heard of the request, and gets exactly the rest.
+        The caller sends its last event id to another gateway, which has no
+        state of the request, and gets exactly the rest of the stream.
         """
 
         async def story(stack: Stack) -> tuple[str, str]:
@@ -128,7 +128,7 @@
 
 
 def read_stream(body: bytes) -> str:
-    """Return the text of a stream that has its closing event."""
+    """Return the text of a stream; check that its final event is there."""
     texts = []
     assert body.endswith(b"data: [DONE]\n\n")
     for line in body.decode().splitlines():
@@ -168,10 +168,10 @@
             assert read_problem(answer)["execution"] == "not_run"
 
     def test_refuses_an_event_id_of_another_workspace(self) -> None:
-        """A workspace presents an event id that is not its own.
+        """Guards against reading another workspace's answer.
 
-        The id is genuine, so only the workspace in it tells them apart.
-        Without that check the market would read the school's draft.
+        The event id is genuine, so only the workspace in it shows that the
+        caller must not resume the stream.
         """
 
         async def story(stack: Stack) -> list[Response]:
@@ -224,8 +224,8 @@
                 seen.append((status, answer.status))
             return seen
 
-        for wanted, got in play(story):
-            assert got == wanted
+        for expected, actual in play(story):
+            assert actual == expected
 
     def test_refuses_unreadable_http(self) -> None:
         async def story(stack: Stack) -> list[bytes]:
@@ -247,13 +247,13 @@
         for answer in answers[:-1]:
             assert answer.startswith(b"HTTP/1.1 4"), answer
             assert b'"execution":"not_run"' in answer
-        # The last one ended within its body: nobody is left to answer.
+        # The last request ends within its body, so a response is optional.
         assert answers[-1] == b"" or answers[-1].startswith(b"HTTP/1.1 4")
 
     def test_answers_a_half_closed_caller(self) -> None:
-        """A caller shuts down its sending side and still gets its answer.
+        """Guards against taking a half-closed connection for a closed one.
 
-        Taking the end of its bytes for its departure would cut it off.
+        The caller shuts down its sending side and still gets its answer.
         """
 
         async def story(stack: Stack) -> bytes:
@@ -272,9 +272,9 @@
 
 class TestPlain:
     def test_checks_are_current_each_time(self) -> None:
-        """A student checks her firing date and sees a stale answer.
+        """Guards against a cached answer to a repeated check.
 
-        An answer kept anywhere on the way would repeat the runner's count.
+        The runner counts the checks, so a cached answer would repeat a count.
         """
 
         async def story(stack: Stack) -> list[Response]:
@@ -287,10 +287,10 @@
         assert {a.header("cache-control") for a in answers} == {"no-store"}
 
     def test_a_booking_runs_once_for_a_key(self) -> None:
-        """A paid slot was booked twice: the caller had sent it again.
+        """Guards against a double booking when a caller retries.
 
-        The same key gets the recorded answer, also at another gateway; the
-        key with another body is refused and runs nothing.
+        The same key returns the recorded answer, also at another gateway.
+        The key with a different body is refused and runs nothing.
         """
 
         async def story(stack: Stack) -> tuple[list[Response], int]:
@@ -320,10 +320,10 @@
 
 class TestGivenUp:
     def test_a_check_that_may_have_run_is_not_called_not_run(self) -> None:
-        """The only runner takes a check and loses its connection, always.
+        """Guards against reporting "not run" for a call that may have run.
 
-        The check may have run each time, so the refusal that comes when no
-        try is left must not say that it was not run.
+        The only runner accepts each attempt and never answers, so the final
+        refusal must report the execution as unknown.
         """
 
         async def story(stack: Stack) -> Response:
--- a/test/test_gateway_quarantine.py
+++ b/test/test_gateway_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.gateway.quarantine over gateways and engines."""
+"""Tests of lagoonpost.gateway.quarantine with gateways and engines."""
 
 import asyncio
 import time
@@ -45,7 +45,7 @@
 
 
 def _arm(stack: Stack, **faults: object) -> set[str]:
-    """Let engines die of the marker; return the names of those that did."""
+    """Make engines crash on the marker; return the set of crashed names."""
     lost: set[str] = set()
     closing: list[asyncio.Future[None]] = []
     for name, engine in stack.engines.items():
@@ -72,7 +72,7 @@
 
 
 async def _wait_refused(stack: Stack) -> None:
-    """Wait until every gateway has heard of the conviction."""
+    """Wait until every gateway refuses the poison request."""
     async with asyncio.timeout(20):
         for daemon in stack.gateways:
             verdicts = daemon._gateway.dispatcher.tables.verdicts
@@ -82,11 +82,11 @@
 
 class TestPoisonRequest:
     def test_is_refused_everywhere_after_two_runners(self) -> None:
-        """Runners go down one after another, and drafts break off.
+        """Guards against a poison request that crashes runner after runner.
 
-        One request crashes each runner that runs it; its caller sends it
-        again and again, now to one gateway, now to the other. Both know of
-        the verdict as soon as the facts have spread.
+        The request crashes each runner that runs it, and its caller keeps
+        retrying at alternating gateways. Both gateways refuse it as soon as
+        the verdict has been gossiped.
         """
 
         async def story(stack: Stack) -> None:
@@ -111,7 +111,7 @@
         play(story, gateways=2, engines=5, options=SLOW)
 
     def test_lost_runner_convicts_nobody(self) -> None:
-        """A runner dies by itself; what ran there runs whole elsewhere."""
+        """Guards against refusing requests of a runner that died by itself."""
 
         async def story(stack: Stack) -> None:
             drafts = [
@@ -136,10 +136,10 @@
 
 class TestSettling:
     def test_innocent_suspect_beside_the_poison_is_not_refused(self) -> None:
-        """A draft is refused for good that did nothing.
+        """Guards against refusing an innocent request for good.
 
-        Two gateways sent it and the poison request, both suspects, to one
-        runner. The news of the draft's loss comes first.
+        Two gateways sent it and the poison request, both suspects, to the
+        same runner. The fact about the innocent request's loss arrives first.
         """
 
         async def story(stack: Stack) -> None:
@@ -165,7 +165,7 @@
 
 
 class _Decisions:
-    """Two runners and one request that was sent to one of them."""
+    """Decision core with two runners and a request sent to one of them."""
 
     def __init__(self) -> None:
         self.tables = GatewayTables()
@@ -191,7 +191,7 @@
         return decide(self.tables, event, 1.0, Random(1))
 
     def wait(self) -> list[Action]:
-        """Let the time pass in which other gateways' suspects are heard."""
+        """Advance the time past the gossip delay of other gateways' facts."""
         return decide(self.tables, Tick(), 1.0 + GOSSIP_SECONDS, Random(1))
 
     def send(self, name: str) -> str:
@@ -235,7 +235,10 @@
         assert action.runner == other
 
     def test_suspect_that_had_begun_is_never_late(self) -> None:
-        """A frozen runner is noticed when the first token is long due."""
+        """Guards against a deadline that ends the retry of a started request.
+
+        A frozen runner is detected long after the first token was due.
+        """
         play = _Decisions()
         other = play.send("r2")
         play.decide(Quarantined("r1", "alone"))
@@ -249,11 +252,12 @@
     def test_suspects_that_are_heard_of_late_go_to_different_runners(
         self,
     ) -> None:
-        """Two gateways lose a runner under a request of their own each.
+        """Guards against two suspects on one runner.
 
-        Both requests are suspects before either gateway has heard of the
-        other's. Sent at once, both would go to the first runner, and look
-        alike when it is lost as well.
+        Two gateways each lose a runner with a request of their own. Both
+        requests are suspects before the gateways have exchanged these facts.
+        Without a wait both would go to the first runner and be
+        indistinguishable when it is lost as well.
         """
         chosen = set()
         for name, other in (("s1", "s2"), ("s2", "s1")):
--- a/test/test_moves.py
+++ b/test/test_moves.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.gateway.moves over gateways and engines in a loop."""
+"""Tests of lagoonpost.gateway.moves with gateways and engines."""
 
 import asyncio
 import time
@@ -14,8 +14,8 @@
 from lagoonpost.tables.entity import Version, VersionMove
 from lagoonpost_standins.engine_fault import Faults
 
-# At the first share of 1 in 100, some 15 of these would meet a version that
-# is still in use.
+# Number of requests sent after the rollback: at the first share of 1 in 100,
+# some 15 of them would reach a version that is still in use.
 AFTER = 1500
 BUSY = FAST._replace(token_rate=2000.0, slots=64)
 
@@ -43,12 +43,12 @@
     return moves[0] if moves else {}
 
 
-async def wait_outcome(stack: Stack, wanted: str) -> list[dict[str, Any]]:
+async def wait_outcome(stack: Stack, outcome: str) -> list[dict[str, Any]]:
     count = len(stack.gateways)
     async with asyncio.timeout(60):
         while True:
             moves = [await read_move(stack, n) for n in range(count)]
-            if all(move.get("outcome") == wanted for move in moves):
+            if all(move.get("outcome") == outcome for move in moves):
                 return moves
             await asyncio.sleep(0.1)
 
@@ -56,7 +56,7 @@
 async def send_drafts(
     stack: Stack, until: asyncio.Event, statuses: list[int]
 ) -> None:
-    """Send drafts over all gateways until told to end."""
+    """Send chat requests to all gateways until ``until`` is set."""
 
     async def send(number: int) -> None:
         body = make_chat(f"{PROMPT} {number}", 3)
@@ -72,11 +72,11 @@
 
 class TestVersionMoves:
     def test_a_bad_version_is_taken_back_everywhere(self) -> None:
-        """A new version fails each request that it gets.
+        """Guards against a bad version that stays in use on some gateways.
 
-        It has a hundredth of the requests of a third of the gateways. The
-        failed requests go to the old version, and once there is evidence
-        no gateway sends the new one anything.
+        The new version fails every request. It gets a hundredth of the
+        requests of a third of the gateways. Failed requests are retried on
+        the old version, and after the rollback no gateway uses the new one.
         """
 
         async def story(stack: Stack) -> tuple[list[Any], list[int], int]:
@@ -87,8 +87,8 @@
             statuses: list[int] = []
             sending = asyncio.create_task(send_drafts(stack, ended, statuses))
             moves = await wait_outcome(stack, "taken_back")
-            # Healthy again: only the trip keeps requests off it now, and
-            # not the ejection of its runner.
+            # The engine recovers, so that the rollback alone, and not the
+            # ejection of its runner, keeps requests away from it.
             bad.set_faults(Faults())
             seen = bad.counts.requests + bad.counts.refused
             enough = len(statuses) + AFTER
@@ -119,10 +119,10 @@
             assert move["share"] == 0
 
     def test_a_replaced_move_has_no_share(self) -> None:
-        """A bad version was taken back, and a fixed one gets its own move.
+        """Guards against traffic for a bad version after its replacement.
 
-        The share of the new move must not go to the version of the old one,
-        which is bad.
+        A bad version was rolled back, and a move to a fixed version replaces
+        its move. The share of the new move must not go to the bad version.
         """
 
         async def story(stack: Stack) -> dict[str, float]:
@@ -139,10 +139,10 @@
                 ),
             }
             runners = (
-                each._replace(version="v3")
-                if each.name == "engine-1"
-                else each
-                for each in gateway.declaration.runners
+                runner._replace(version="v3")
+                if runner.name == "engine-1"
+                else runner
+                for runner in gateway.declaration.runners
             )
             gateway.declaration = gateway.declaration._replace(
                 moves=(fixed,),
@@ -154,7 +154,9 @@
             )
             await gateway.moves.tick(now)
             applied = gateway.moves.apply_shares(gateway.declaration)
-            return {each.name: each.share for each in applied.versions}
+            return {
+                version.name: version.share for version in applied.versions
+            }
 
         shares = play(story)
         assert shares["v2"] == 0.0
--- a/test/test_reclaim.py
+++ b/test/test_reclaim.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.gateway.reclaim and the phase of a gateway."""
+"""Tests of lagoonpost.gateway.reclaim and of a gateway's phase."""
 
 import asyncio
 import time
@@ -27,10 +27,11 @@
     def test_tells_of_a_runner_that_is_declared_after_the_notice(
         self,
     ) -> None:
-        """A gateway starts while a host's notice is already out.
+        """Guards against sending new work to a runner on a reclaimed host.
 
-        It sees the notice before it has the declaration. Taking the notice
-        as done with then, it would send new work to the leaving runner.
+        A gateway that starts after the notice sees it before it has the
+        declaration. It must still apply the notice once the runner of that
+        host is declared.
         """
 
         async def story(stack: Stack) -> None:
@@ -38,7 +39,7 @@
             deadline = time.time() + 30.0
             notice = {"host": "host-engine-9", "deadline": deadline}
             stack.platform.cloud.notices.append(notice)
-            # Some polls of the notices go by.
+            # Long enough for several polls of the notices.
             await asyncio.sleep(1.5)
             stack.addresses["engine-9"] = Address("127.0.0.1", 9)
             runner = stack.declare_runner("engine-9", 0)
@@ -64,10 +65,11 @@
     def test_is_stale_without_news_and_serves_if_nobody_is_there(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A gateway thaws and does not know which runners have left.
+        """Guards against serving with outdated facts after a freeze.
 
-        It must not serve until a peer has told it; but if no peer is left
-        at all, the store alone has to do.
+        A gateway that was frozen does not know which runners have left. It
+        must not serve before a peer has updated it. If no peer is reachable,
+        it serves with the store's data alone.
         """
 
         async def story(stack: Stack) -> None:
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.gateway.departure: gateways that leave."""
+"""Tests of lagoonpost.gateway.shutdown with gateways that shut down."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 async def draft(stack: Stack, at: int, act: Any) -> tuple[str, list[Any]]:
-    """Stream a draft and run ``act`` once behind token ``at``."""
+    """Stream an answer and run ``act`` once after token ``at``."""
     caller = stack.make_caller()
     texts: list[str] = []
     rest: list[Any] = []
@@ -36,10 +36,10 @@
 
 class TestMoveAnswers:
     def test_a_stream_goes_on_at_a_peer(self) -> None:
-        """A gateway's host is reclaimed under a long draft.
+        """Guards against recomputing a stream whose gateway is reclaimed.
 
-        Its caller is told where to go on, gets the rest there, and the
-        runner computes nothing twice.
+        The caller is redirected to a peer and gets the rest there, and the
+        runner recomputes no tokens.
         """
 
         async def story(stack: Stack) -> tuple[str, str, list[Any], int]:
@@ -66,10 +66,10 @@
     def test_a_waiting_caller_is_sent_to_the_peer_that_has_its_answer(
         self,
     ) -> None:
-        """A caller who waits for a whole answer has its gateway reclaimed.
+        """Guards against a cut connection for a caller that does not stream.
 
-        It gets a redirect instead of a cut connection, and the peer gives
-        the whole answer, from the runner that goes on with it.
+        Its gateway is reclaimed. The caller gets a redirect to a peer, which
+        returns the whole answer from the runner that continues it.
         """
 
         async def story(stack: Stack) -> tuple[Response, Response, str]:
@@ -107,10 +107,11 @@
         assert pick_text(answer) == whole
 
     def test_the_runner_goes_as_well(self) -> None:
-        """The gateway's host and the runner's are reclaimed together.
+        """Guards against losing an answer together with its runner.
 
-        The peer was handed the request and its tokens so far, so that it
-        goes on with another runner although the first one is gone.
+        The hosts of the gateway and of the runner are reclaimed together.
+        The peer got the request and its tokens with the hand-over, so it
+        continues on another runner.
         """
 
         async def story(stack: Stack) -> tuple[str, str]:
@@ -133,10 +134,10 @@
         assert text == whole
 
     def test_the_successor_dies_as_well(self) -> None:
-        """The peer that took a draft over dies before its caller comes.
+        """Guards against an answer lost with the peer that took it over.
 
-        The caller finds nobody there, and goes on at a third gateway by
-        what it holds itself: the last event id and the tokens so far.
+        The peer dies before the caller connects. The caller resumes at a
+        third gateway with its last event id and the tokens it received.
         """
 
         async def story(stack: Stack) -> tuple[str, str, list[Any]]:
@@ -164,10 +165,11 @@
 
 class TestPlannedStop:
     def test_cuts_off_nothing_that_ends_within_its_grace(self) -> None:
-        """An operator restarts a gateway under a draft and a booking.
+        """Guards against a planned restart that cuts off accepted requests.
 
-        Both were accepted, so both get their whole answers; what comes
-        after is refused as not run, with where and when to come back.
+        An operator restarts a gateway that serves a chat and a booking. Both
+        get their whole answers; later requests are refused as not run, with
+        another entry to use and a retry delay.
         """
 
         async def story(stack: Stack) -> tuple[Response, Response, int]:
--- a/test/test_sweep.py
+++ b/test/test_sweep.py
@@ -22,9 +22,10 @@
 
 class TestSweep:
     def test_sweeps_all_pages_through_an_outage(self) -> None:
-        """The store is lost while expired rows are being deleted.
+        """Guards against a sweep that stops or deletes live rows in an outage.
 
-        The round goes on where it was, and no live row goes.
+        The store fails while expired rows are deleted. The round resumes at
+        the same row, and no live row is deleted.
         """
 
         async def play() -> MemoryStore:
--- a/test/test_tickets.py
+++ b/test/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.gateway.tickets, driven by the command line."""
+"""Tests of lagoonpost.gateway.tickets through the command line."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 class Site:
-    """Gateways on a loop of their own, as the command blocks this one."""
+    """Gateways in a thread of their own, because commands block this one."""
 
     def __init__(self, count: int) -> None:
         self.store = MemoryStore()
@@ -108,9 +108,10 @@
     def test_deadline_too_near_is_said_at_once(
         self, site: Site, tmp_path: Path
     ) -> None:
-        """An operator types last month's date as a move's deadline.
+        """Guards against silence about a move's deadline in the past.
 
-        The command says so before and the gateway in its answer.
+        The command warns before it submits the ticket, and the gateway warns
+        in its response.
         """
         site.invoke("apply", "--wait=0", str(START))
         late = tmp_path / "late.yaml"
@@ -141,7 +142,7 @@
         assert (WROTE_NOTHING in detail) == wrote_nothing
 
     def test_an_earlier_command_may_have_written(self, site: Site) -> None:
-        """Guards against "not run" of a ticket that comes into force."""
+        """Guards against "not run" for a ticket that may still take effect."""
         site.store.fault = lambda call: "late" if call == "transact" else ""
         assert site.invoke("apply", str(START)).exit_code == ExitCode.UNKNOWN
         site.entries = [Address("127.0.0.1", 1)]
@@ -149,10 +150,11 @@
         assert site.invoke("status", "1").exit_code == ExitCode.NOT_RUN
 
     def test_unknown_at_one_gateway_stays_unknown(self, site: Site) -> None:
-        """The first gateway's write hangs, the second finds the store down.
+        """Guards against "not run" for a ticket that may take effect.
 
-        The second wrote nothing, the first perhaps did. An
-        operator who is told "not run" would drop a change that comes.
+        The write of the first gateway hangs and may succeed. The second
+        gateway finds the store down and writes nothing. After "not run" the
+        operator would wrongly regard the change as dropped.
         """
         plan = iter(["late", "down", "down", "down"])
         site.store.fault = lambda call: (
--- a/test/test_two_gateways.py
+++ b/test/test_two_gateways.py
@@ -1,4 +1,4 @@
-"""One run at an engine that two gateways read, one after the other."""
+"""Tests of two gateways that read the same run of an engine."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,7 +28,7 @@
 
 
 def play(story: Story) -> None:
-    """Play over one engine that takes a second or so for its answer."""
+    """Run a test with one engine that takes about a second per answer."""
 
     async def run() -> None:
         fleet = Fleet()
@@ -42,7 +42,7 @@
 
 
 def attach(fleet: Fleet) -> RelayedAnswer:
-    """Return the same answer as another gateway reads it."""
+    """Attach to the fleet's run as a second gateway does."""
     order = Generation("r1", BODY)
     return relay_answer(
         order, fleet.runners[0], fleet.place, fleet.client, attach=True
@@ -54,17 +54,17 @@
 
 
 async def settle(answer: RelayedAnswer) -> None:
-    """Wait for the calls that an answer leaves behind."""
+    """Wait for the background calls of an answer."""
     while answer._tasks:
         await asyncio.wait(answer._tasks)
 
 
 class TestTwoGateways:
-    """A caller goes on at another gateway while the first one reads on."""
+    """A caller resumes at another gateway while the first still reads."""
 
     @pytest.mark.parametrize("end", ["deadline", "caller left"])
     def test_the_gateway_before_does_not_end_the_run(self, end: str) -> None:
-        """Guards against an answer lost to its caller's earlier gateway."""
+        """Guards against the caller's previous gateway cancelling the run."""
 
         async def story(fleet: Fleet) -> None:
             now = asyncio.get_running_loop().time()
@@ -81,7 +81,7 @@
             await settle(one)
             outcomes += [outcome async for outcome in other]
             assert isinstance(outcomes[-1], Completed)
-            texts = [each.text for each in outcomes if isinstance(each, Part)]
+            texts = [part.text for part in outcomes if isinstance(part, Part)]
             assert "".join(texts) == WHOLE
             (engine,) = fleet.engines.values()
             assert fleet.asked == []
@@ -90,7 +90,7 @@
         play(story)
 
     def test_the_last_one_ends_the_run(self) -> None:
-        """Guards against runs that go on for nobody."""
+        """Guards against a run that continues without any reader."""
 
         async def story(fleet: Fleet) -> None:
             one, two = fleet.ask(), attach(fleet)
@@ -108,7 +108,7 @@
 
 
 class TestAttempts:
-    """What an engine does by the names of those who read a run."""
+    """An engine cancels a run only for the attempt that read it last."""
 
     @pytest.mark.parametrize(
         ("readers", "asks", "ended"),
@@ -126,7 +126,7 @@
     def test_the_last_that_came_ends_it(
         self, readers: list[str], asks: str, ended: bool
     ) -> None:
-        """Guards against a probe that takes a run back from who reads it."""
+        """Guards against a probe that cancels a run another attempt reads."""
 
         async def story(fleet: Fleet) -> None:
             address = parse_address(fleet.runners[0].endpoint)
@@ -145,7 +145,7 @@
         play(story)
 
     def test_a_late_cancel_does_not_end_the_next_run(self) -> None:
-        """Guards against a run that another gateway opened anew."""
+        """Guards against cancelling a run that another gateway reopened."""
 
         async def story(fleet: Fleet) -> None:
             address = parse_address(fleet.runners[0].endpoint)
