--- a/test/test_sweep.py
+++ b/test/test_sweep.py
@@ -38,12 +38,12 @@
             faults = iter(["", "", "down", "lost", ""])
             store.fault = lambda call: next(faults, "")
             keeper = LeaseKeeper(store, "sweep", "a", "a")
-            keeper.lease = keeper.lease._replace(until=inf)
+            keeper.lease = keeper.lease._replace(expires=inf)
             task = asyncio.create_task(sweep_ledger(store, keeper, 0.0, 0.0))
             async with asyncio.timeout(20.0):
                 while len(list_live(store)) > ROWS // 2:  # noqa: ASYNC110
                     await asyncio.sleep(0.01)
-            keeper.lease = keeper.lease._replace(until=0.0)
+            keeper.lease = keeper.lease._replace(expires=0.0)
             await task
             return store
 
