--- a/lagoonpost/forwarding/admission.py
+++ b/lagoonpost/forwarding/admission.py
@@ -3,8 +3,9 @@
 import random
 from collections.abc import Callable
 
-from lagoonpost.forwarding.belief import Belief
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.exchange import Exchange
+from lagoonpost.forwarding.peer_sync import PeerSync
 from lagoonpost.forwarding.refusal import (
     NO_CONFIGURATION,
     NO_KEY,
@@ -13,7 +14,6 @@
     QUARANTINED,
     Refusal,
 )
-from lagoonpost.forwarding.shared import Shared
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.store.clock import read_clock
 from lagoonpost.systems.poison import BrokenAnswerTable, make_fingerprint
@@ -39,12 +39,12 @@
         on_quota_charged: Called after a request was charged to a quota.
     """
 
-    cluster: Shared
+    cluster: PeerSync
     on_quota_charged: Callable[[], None]
 
     def __init__(
         self,
-        view: Belief,
+        view: ClusterState,
         bounds: Bounds,
         rng: random.Random,
         started: float | None,
@@ -102,14 +102,14 @@
         reports = self.cluster.reports
         gateways = self.cluster.count_gateways()
         retry_after = self.quotas.take(
-            workspace, cost, reports.heard_part(), read_clock(), gateways
+            workspace, cost, reports.reachable_share(), read_clock(), gateways
         )
         exchange.quota = self.quotas.decision_inputs
         if retry_after is None:
             exchange.units = cost
             self.on_quota_charged()
             if self.quotas.needs_publishing(workspace, gateways):
-                reports.nudge()
+                reports.send_soon()
             return None
         detail = "the workspace is over its quota"
         return Refusal(429, "over_quota", detail, retry_after=retry_after)
--- a/lagoonpost/forwarding/belief.py
+++ b/lagoonpost/forwarding/cluster_state.py
@@ -22,12 +22,12 @@
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.stamp import Stamp, find_era
 
-LAPSE_SECONDS = 2.2
+LAPSE_GRACE_SECONDS = 2.2
 """How long a missing entry is kept after the store's return. Entries of
 runners that live are back within two seconds; a tenth more for the feed."""
 
 
-class Entry(NamedTuple):
+class RunnerEntry(NamedTuple):
     """What is known of a runner's entry.
 
     Attributes:
@@ -40,10 +40,10 @@
     version: int
     endpoint: Endpoint | None
     raw: bytes | None
-    last: bytes | None = None
+    last_raw: bytes | None = None
 
 
-class Belief:
+class ClusterState:
     """The newest configuration and runners that are known here.
 
     Args:
@@ -64,25 +64,25 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self.was_store_away: Callable[[], bool] = lambda: True
+        self.was_store_unavailable: Callable[[], bool] = lambda: True
         self.routes: RouteTable | None = None
         self.loaded = asyncio.Event()
         self.raw_configuration = b""
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, RunnerEntry] = {}
         self._services: dict[str, dict[str, Endpoint]] = {}
         self._lapsing: dict[str, int] = {}
         self._store_back = -math.inf
         self._era_began = -math.inf
         self.on_configuration: list[Callable[[RouteTable], None]] = []
-        self.on_down: list[Callable[[str], None]] = []
-        self.on_leaving: list[Callable[[str, float | None], None]] = []
+        self.on_runner_down: list[Callable[[str], None]] = []
+        self.on_runner_leaving: list[Callable[[str, float | None], None]] = []
 
     @property
     def version(self) -> int:
         """Version of the configuration in force; 0 if none is."""
         return self.routes.configuration.version if self.routes else 0
 
-    def take_configuration(self, raw: bytes, source: str) -> bool:
+    def apply_configuration(self, raw: bytes, source: str) -> bool:
         """Take a configuration if it is newer than the one in force."""
         try:
             configuration = decode_configuration(raw)
@@ -108,7 +108,7 @@
         self._note_loaded()
         return True
 
-    def take_entry(
+    def apply_entry(
         self, key: str, version: Stamp, raw: bytes | None, source: str
     ) -> bool:
         """Take a runner's entry, or its deletion, if it is newer.
@@ -136,17 +136,17 @@
                     source=source,
                     detail=str(error),
                 )
-        last = raw or (held.last if held is not None else None)
-        self.entries[key] = Entry(version, endpoint, raw, last)
+        last = raw or (held.last_raw if held is not None else None)
+        self.entries[key] = RunnerEntry(version, endpoint, raw, last)
         before = held.endpoint if held is not None else None
         if endpoint != before:
             self._arrange(key, before, endpoint)
         self._note_loaded()
         if _went_down(before, endpoint):
-            for told in self.on_down:
+            for told in self.on_runner_down:
                 told(key)
         if _began_to_leave(before, endpoint):
-            for warned in self.on_leaving:
+            for warned in self.on_runner_leaving:
                 warned(key, endpoint.leaves_in_seconds if endpoint else None)
         changed = held is None or held.endpoint != endpoint
         if changed:
@@ -166,7 +166,7 @@
             self.loaded.set()
 
     def _is_lapsing(
-        self, key: str, held: Entry | None, version: int, source: str
+        self, key: str, held: RunnerEntry | None, version: int, source: str
     ) -> bool:
         """Keep an entry that was deleted while the store was away.
 
@@ -178,10 +178,10 @@
         """
         if held is None or held.endpoint is None:
             return False
-        if self._clock() >= self._store_back + LAPSE_SECONDS:
+        if self._clock() >= self._store_back + LAPSE_GRACE_SECONDS:
             return False
-        rewritten = self._clock() < self._era_began + LAPSE_SECONDS
-        if not rewritten and not self.was_store_away():
+        rewritten = self._clock() < self._era_began + LAPSE_GRACE_SECONDS
+        if not rewritten and not self.was_store_unavailable():
             return False
         if self._lapsing.get(key) != version:
             self._lapsing[key] = version
@@ -194,24 +194,24 @@
             )
         return True
 
-    def note_store_back(self) -> None:
+    def handle_store_recovery(self) -> None:
         """Begin the time in which lapsed entries may be written anew."""
         self._store_back = self._clock()
 
-    def note_era(self) -> None:
+    def handle_new_era(self) -> None:
         """Begin the time in which runners write anew what the store lost."""
         self._store_back = self._era_began = self._clock()
 
     def drop_lapsed(self) -> list[str]:
         """Delete what was not written anew in time; return the ids."""
-        if self._clock() < self._store_back + LAPSE_SECONDS:
+        if self._clock() < self._store_back + LAPSE_GRACE_SECONDS:
             return []
         lapsed = list(self._lapsing.items())
         self._lapsing.clear()
         return [
             key
             for key, version in lapsed
-            if self.take_entry(key, version, None, "lapsed")
+            if self.apply_entry(key, version, None, "lapsed")
         ]
 
     def _arrange(
@@ -233,9 +233,11 @@
 
     def find_runners(self, service: str) -> list[Endpoint]:
         """Return the runners of a service that may get new work."""
-        return [each for each in self.find_all(service) if not each.leaving]
+        return [
+            each for each in self.find_all_runners(service) if not each.leaving
+        ]
 
-    def find_all(self, service: str) -> list[Endpoint]:
+    def find_all_runners(self, service: str) -> list[Endpoint]:
         """Return all runners of a service, leaving ones included."""
         return list(self._services.get(service, {}).values())
 
@@ -245,15 +247,17 @@
         return entry is not None and entry.endpoint is not None
 
 
-def _is_older_copy(held: Entry, version: Stamp, raw: bytes | None) -> bool:
+def _is_older_copy(
+    held: RunnerEntry, version: Stamp, raw: bytes | None
+) -> bool:
     """Tell whether a row is one that the store lost a newer one of."""
-    if raw is None or held.last is None:
+    if raw is None or held.last_raw is None:
         return False
     if find_era(version) == find_era(held.version):
         return False
-    if raw == held.last:
+    if raw == held.last_raw:
         return True
-    known, found = decode_order(held.last), decode_order(raw)
+    known, found = decode_order(held.last_raw), decode_order(raw)
     return known is not None and found is not None and found < known
 
 
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -10,19 +10,22 @@
 import eliot
 
 from lagoonpost.forwarding.admission import Admission
-from lagoonpost.forwarding.belief import Belief
-from lagoonpost.forwarding.bursts import Bursts
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.directory import Directory
-from lagoonpost.forwarding.duties import Duties
+from lagoonpost.forwarding.duties import LeaderDuties
 from lagoonpost.forwarding.exchange import Exchange
-from lagoonpost.forwarding.follow import BeliefFollower, find_wait
 from lagoonpost.forwarding.forwarder import Forwarder
 from lagoonpost.forwarding.metrics import ForwardingMetrics
+from lagoonpost.forwarding.peer_sync import PeerSync
+from lagoonpost.forwarding.quota_recorder import QuotaRecorder
 from lagoonpost.forwarding.request_log import log_exchange
-from lagoonpost.forwarding.shared import Shared
-from lagoonpost.forwarding.shifts import Shifts, keep_shifting
+from lagoonpost.forwarding.store_follower import StoreFollower, find_feed_wait
 from lagoonpost.forwarding.timers import sleep_aligned
-from lagoonpost.forwarding.usage import UsageCount
+from lagoonpost.forwarding.usage_counter import UsageCounter
+from lagoonpost.forwarding.version_shifts import (
+    VersionShifts,
+    run_version_shifts,
+)
 from lagoonpost.forwarding.watchers import (
     SettingsWatcher,
     watch_for_suspension,
@@ -86,11 +89,11 @@
         self._client = Client()
         traffic = ControlTraffic()
         self._metrics = ForwardingMetrics(traffic, self._update_gauges)
-        self.view = Belief(read_clock)
+        self.view = ClusterState(read_clock)
         self._store = PlatformStore(self._client, settings.store, traffic)
         wall_clock = make_clock()
         bounds = settings.bounds
-        usage = UsageCount(bounds.usage_window, wall_clock)
+        usage = UsageCounter(bounds.usage_window, wall_clock)
         self._usage = usage
         self._forwarder = Forwarder(
             self.view,
@@ -106,28 +109,28 @@
                 None if settings.first_start else read_clock(),
             ),
         )
-        self._cluster = Shared(
+        self._cluster = PeerSync(
             settings,
             self.view,
             self,
             self._record_crash,
-            lambda fact: self._shifts.learn(fact),
+            lambda fact: self._shifts.handle_fact(fact),
             self._note_recorded_quota,
             self._store.eras.note,
             rng,
             traffic,
         )
-        self._shifts = Shifts(
+        self._shifts = VersionShifts(
             ExposureBounds(bounds.exposure_share, bounds.exposure_slack),
             rng,
             self._cluster.peers.publish,
             wall_clock,
         )
         self._forwarder.shifts = self._shifts
-        self.view.on_down.append(self._note_runner_down)
-        self.view.was_store_away = self._cluster.was_store_away
+        self.view.on_runner_down.append(self._note_runner_down)
+        self.view.was_store_unavailable = self._cluster.was_store_unavailable
         self._forwarder.cluster = self._cluster
-        self._bursts = Bursts(
+        self._bursts = QuotaRecorder(
             self._store,
             settings.name,
             self._forwarder.admission.quotas,
@@ -135,15 +138,15 @@
             self.view.list_workspaces,
         )
         self._forwarder.admission.cluster = self._cluster
-        self._forwarder.admission.on_quota_charged = self._bursts.look
-        self._follower = BeliefFollower(
+        self._forwarder.admission.on_quota_charged = self._bursts.check_usage
+        self._follower = StoreFollower(
             self._store,
             self.view,
             self._cluster.publish_entry,
             self._cluster.publish_configuration,
-            self._cluster.find_pause,
+            self._cluster.find_read_pause,
             self._find_feed_timeout,
-            self._shifts.take_row,
+            self._shifts.handle_row,
         )
         self._server = Server(
             self._forwarder.handle, Limits(), cancel_when_gone=True
@@ -166,7 +169,7 @@
             self._auxiliary_servers.append((address, server))
         self._duties = None
         if settings.cloud is not None:
-            self._duties = Duties(
+            self._duties = LeaderDuties(
                 settings,
                 self._store,
                 CloudCalls(self._client, settings.cloud),
@@ -175,12 +178,12 @@
                 wall_clock,
                 base_runners,
             )
-            self._store.eras.on_era.append(self._duties.note_era)
+            self._store.eras.on_era.append(self._duties.handle_new_era)
         self._store.eras.on_era += [
-            self.view.note_era,
-            self._follower.note_era,
-            self._cluster.note_era,
-            self._shifts.note_era,
+            self.view.handle_new_era,
+            self._follower.handle_new_era,
+            self._cluster.handle_new_era,
+            self._shifts.handle_new_era,
             self._forwarder.admission.quotas.forget_records,
         ]
         self._leaving = False
@@ -206,7 +209,7 @@
         for address, server in self._auxiliary_servers:
             await self._serve(server, address)
         self._spawn(self._cluster.run())
-        self._spawn(self._cluster.keep_seeds(self._store))
+        self._spawn(self._cluster.discover_gateways(self._store))
         self._spawn(self._bursts.run())
         self._spawn(self._run_maintenance())
         self._spawn(self._settings_watcher.run())
@@ -214,12 +217,12 @@
         if self._duties is not None:
             self._spawn(self._duties.run())
             self._spawn(
-                keep_shifting(
+                run_version_shifts(
                     self._shifts,
                     self._store,
                     self._duties.is_held,
                     self._duties.is_contender,
-                    self._cluster.reports.all_reports,
+                    self._cluster.reports.list_reports,
                     SHIFT_INTERVAL_SECONDS,
                 )
             )
@@ -240,7 +243,9 @@
 
     def _find_feed_timeout(self) -> float:
         contact = self._settings_watcher.settings.bounds.contact_seconds
-        timeout = find_wait(contact, self._cluster.find_pause() or 0.0)
+        timeout = find_feed_wait(
+            contact, self._cluster.find_read_pause() or 0.0
+        )
         if self._cluster.find_roles().mesh:
             return timeout
         return min(timeout, READER_LONG_POLL_SECONDS)
@@ -331,24 +336,24 @@
             read_age=self._follower.find_age(),
         )
 
-    def hear_report(self, report: GatewayReport) -> None:
+    def handle_report(self, report: GatewayReport) -> None:
         """Process a new report of another gateway."""
         now = read_clock()
         sender = f"{report.name}/{report.run}"
         quotas = self._forwarder.admission.quotas
         quotas.update_from_peers(sender, report.used, report.recent, now)
-        self._bursts.look()
+        self._bursts.check_usage()
         if self._cluster.find_roles().mesh:
             return
         if quotas.is_near_limit(self.view.list_workspaces(), now):
-            self._cluster.reports.nudge()
+            self._cluster.reports.send_soon()
 
     def list_taken(self) -> UsageByAge:
         """Return the quota used at all gateways."""
         quotas = self._forwarder.admission.quotas
         return quotas.list_taken(read_clock(), self.view.list_workspaces())
 
-    def hear_taken(self, taken: UsageByAge, since: float) -> None:
+    def apply_taken(self, taken: UsageByAge, since: float) -> None:
         """Process the quota totals that a hub computed.
 
         Args:
@@ -387,7 +392,7 @@
         while True:
             await sleep_aligned(MAINTENANCE_INTERVAL_SECONDS)
             self._forwarder.placement.update_from_peers(
-                self._cluster.reports.sum_others()
+                self._cluster.reports.sum_peer_work()
             )
             self._cluster.publish_store_lost(self._follower.lost)
             for key in self.view.drop_lapsed():
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -7,8 +7,8 @@
 
 import eliot
 
-from lagoonpost.forwarding.belief import Belief
-from lagoonpost.forwarding.shared import Shared
+from lagoonpost.forwarding.cluster_state import ClusterState
+from lagoonpost.forwarding.peer_sync import PeerSync
 from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.platform.cloud import CloudCalls, CloudOutcome, Duty
 from lagoonpost.platform.settings import HostSettings
@@ -48,17 +48,17 @@
 the platform says some seconds."""
 LEASE_MARGIN_SECONDS = 0.5
 """Covers clocks that run unlike, and the way of a call to the platform."""
-HEAR_SECONDS = 2.0
+REPORT_WAIT_SECONDS = 2.0
 """Time after a start until the others' reports are heard: counts and orders of
 one that takes the duties before would be by its own requests alone."""
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 """Pause between looks at what is due: a reclaim's notice is two seconds."""
-REPEAT_SECONDS = 8.0
+ORDER_RETRY_SECONDS = 8.0
 """Time after which an order that shows no effect is given again: start-up
 and two heartbeats."""
 
 
-class Duties:
+class LeaderDuties:
     """Takes the lease and does what is due under it.
 
     Args:
@@ -76,16 +76,16 @@
         settings: HostSettings,
         store: PlatformStore,
         cloud: CloudCalls,
-        belief: Belief,
-        shared: Shared,
+        cluster: ClusterState,
+        peer_sync: PeerSync,
         wall_clock: Callable[[], float],
         base: int,
     ) -> None:
         self._settings = settings
         self._store = store
         self._cloud = cloud
-        self._belief = belief
-        self._shared = shared
+        self._cluster = cluster
+        self._peer_sync = peer_sync
         self._wall_clock = wall_clock
         self._base = base
         seconds = settings.bounds.lease_seconds
@@ -99,7 +99,7 @@
             handback_delay=seconds + LEASE_MARGIN_SECONDS,
         )
         self._lease = LeaseKeeper(
-            store, LEASE_NAME, settings.name, shared.reports.run_id, policy
+            store, LEASE_NAME, settings.name, peer_sync.reports.run_id, policy
         )
         self._reported: dict[int, bool] = {}
         self._ordered: dict[tuple[str, CapacityPool], tuple[int, float]] = {}
@@ -111,9 +111,9 @@
         self._leaving = False
         self._hears_from = read_clock()
         if not settings.first_start:
-            self._hears_from += HEAR_SECONDS
+            self._hears_from += REPORT_WAIT_SECONDS
 
-    def note_era(self) -> None:
+    def handle_new_era(self) -> None:
         """Take the lease only after all who may still hold it."""
         self._lease.distrust(self._store.eras.era)
 
@@ -125,7 +125,7 @@
         """Tell whether this gateway may do the duties next."""
         if self._leaving or read_clock() < self._hears_from:
             return False
-        return self._settings.name in self._shared.find_roles().contenders
+        return self._settings.name in self._peer_sync.find_roles().contenders
 
     async def run(self) -> None:
         """Contend for the lease and do what is due until cancelled."""
@@ -151,7 +151,7 @@
     async def _look(self) -> None:
         wanted = False
         while True:
-            roles = self._shared.find_roles()
+            roles = self._peer_sync.find_roles()
             before, wanted = wanted, self._may_contend(roles)
             self._lease.want(wanted)
             if wanted != before:
@@ -160,7 +160,7 @@
                     wanted=wanted,
                     contenders=roles.contenders,
                 )
-            await sleep_aligned(LOOK_SECONDS)
+            await sleep_aligned(POLL_SECONDS)
 
     def _may_contend(self, roles: Roles) -> bool:
         if self.is_held():
@@ -195,7 +195,7 @@
     async def _report_usage(self) -> None:
         bounds = self._settings.bounds
         while True:
-            await sleep_aligned(LOOK_SECONDS)
+            await sleep_aligned(POLL_SECONDS)
             if not self.is_held():
                 continue
             due = find_due_windows(
@@ -214,7 +214,7 @@
         would count anew, and differ; so the counts are written first, and
         whoever finds them there repeats them as they are.
         """
-        counts = await self._fix_counts(window)
+        counts = await self._persist_counts(window)
         if counts is None or not self.is_held():
             return
         outcome = await self._send(
@@ -226,11 +226,11 @@
         if outcome in ("done", "fenced"):
             self._reported[window] = True
 
-    async def _fix_counts(self, window: int) -> dict[str, int] | None:
-        counts = self._shared.written.usage.get(window)
+    async def _persist_counts(self, window: int) -> dict[str, int] | None:
+        counts = self._peer_sync.usage_gossip.usage.get(window)
         if counts is None:
             # Counted once: the store may lose the row, not so the others.
-            reports = self._shared.reports.all_reports()
+            reports = self._peer_sync.reports.list_reports()
             counts = sum_begun_requests(reports, window)
         key = f"{USAGE_PREFIX}{window}"
         outcome = await self._store.transact(
@@ -243,14 +243,14 @@
                 counts = {str(k): int(v) for k, v in dict(row.value).items()}
             case _:
                 return None
-        self._shared.written.publish_usage(window, counts)
+        self._peer_sync.usage_gossip.publish_usage(window, counts)
         return counts
 
     # Orders
 
     async def _order_runners(self) -> None:
         while True:
-            await sleep_aligned(LOOK_SECONDS)
+            await sleep_aligned(POLL_SECONDS)
             self._measure()
             if not self.is_held():
                 continue
@@ -259,9 +259,9 @@
 
     def _list_scaled(self) -> dict[str, Service]:
         """Return the services whose runners may be ordered."""
-        if self._belief.routes is None:
+        if self._cluster.routes is None:
             return {}
-        services = self._belief.routes.configuration.services
+        services = self._cluster.routes.configuration.services
         return {
             name: service
             for name, service in services.items()
@@ -274,13 +274,13 @@
         Only those that hear all can. One that becomes a hub later begins
         anew, as it has no more than its own share of the load before.
         """
-        if not self._shared.reports.is_hub():
+        if not self._peer_sync.reports.is_hub():
             self._meters.clear()
             self._heard.clear()
             self._from_start = False
             return
-        self._add_sent(self._shared.reports.all_reports())
-        fresh = self._shared.reports.fresh(with_own=True)
+        self._add_sent(self._peer_sync.reports.list_reports())
+        fresh = self._peer_sync.reports.list_fresh_reports(with_own=True)
         now = read_clock()
         for service in self._list_scaled():
             waiting = sum(
@@ -311,8 +311,8 @@
         meter = self._meters.get(service)
         if meter is None:
             expected = 0.0
-            if self._from_start and self._belief.routes is not None:
-                workspaces = self._belief.routes.configuration.workspaces
+            if self._from_start and self._cluster.routes is not None:
+                workspaces = self._cluster.routes.configuration.workspaces
                 expected = estimate_initial_busy(
                     workspaces, DEFAULT_SECONDS_PER_TOKEN
                 )
@@ -323,7 +323,7 @@
     async def _order_service(self, service: Service) -> None:
         assert service.scaling is not None
         now = read_clock()
-        there = count_runners(self._belief.find_all(service.name))
+        there = count_runners(self._cluster.find_all_runners(service.name))
         busy = self._meter(service.name).busy()
         if busy is None:
             return
@@ -350,7 +350,7 @@
         count = there.get(order.capacity_pool, 0)
         before = self._ordered.get((service, order.capacity_pool))
         if before is not None and before[0] == order.runners:
-            overdue = read_clock() - before[1] > REPEAT_SECONDS
+            overdue = read_clock() - before[1] > ORDER_RETRY_SECONDS
             return overdue and count != order.runners
         if before is None and count == order.runners:
             return False
--- a/lagoonpost/forwarding/forwarder.py
+++ b/lagoonpost/forwarding/forwarder.py
@@ -16,9 +16,10 @@
     Whole,
     send_request,
 )
-from lagoonpost.forwarding.belief import Belief
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.exchange import Exchange
 from lagoonpost.forwarding.migration import Migrations
+from lagoonpost.forwarding.peer_sync import PeerSync
 from lagoonpost.forwarding.refusal import (
     ANSWER_LOST,
     NO_RUNNER,
@@ -28,9 +29,8 @@
     make_refusal,
 )
 from lagoonpost.forwarding.relay import relay
-from lagoonpost.forwarding.shared import Shared
-from lagoonpost.forwarding.shifts import Shifts
-from lagoonpost.forwarding.usage import UsageCount
+from lagoonpost.forwarding.usage_counter import UsageCounter
+from lagoonpost.forwarding.version_shifts import VersionShifts
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Request, Response
 from lagoonpost.http.responder import Responder
@@ -86,9 +86,9 @@
 
     def __init__(
         self,
-        view: Belief,
+        view: ClusterState,
         client: Client,
-        usage: UsageCount,
+        usage: UsageCounter,
         bounds: Bounds,
         rng: random.Random,
         log: Callable[[Exchange], None],
@@ -101,8 +101,8 @@
         self._rng = rng
         self._log = log
         self.admission = admission
-        self.cluster: Shared
-        self.shifts: Shifts
+        self.cluster: PeerSync
+        self.shifts: VersionShifts
         self.placement = Placement()
         self.migrations = Migrations(
             view,
@@ -267,9 +267,11 @@
             if runner.id not in exchange.tried_runners
         ]
         leaving = [
-            runner for runner in self._view.find_all(service) if runner.leaving
+            runner
+            for runner in self._view.find_all_runners(service)
+            if runner.leaving
         ]
-        group = self.shifts.choose_group(
+        group = self.shifts.choose_candidates(
             service, runners, self.cluster.count_gateways()
         )
         return self.placement.choose(
@@ -380,7 +382,7 @@
                 choice, exchange.requirements, took, now
             )
             if exchange.note_began() and exchange.workspace is not None:
-                self._usage.note_begun(exchange.workspace.name)
+                self._usage.record_begun(exchange.workspace.name)
             if isinstance(outcome, Began):
                 self._count_prompt(exchange, choice)
 
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -12,7 +12,7 @@
 
 import eliot
 
-from lagoonpost.forwarding.belief import Belief
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.exchange import Exchange
 from lagoonpost.platform.memory import RunMemory
 from lagoonpost.systems.migration import (
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        view: Belief,
+        view: ClusterState,
         placement: Placement,
         memory: RunMemory,
         take_retry: Callable[[str], bool],
@@ -94,7 +94,7 @@
         self._departures: dict[str, float] = {}
         self._incoming_counts: Counter[str] = Counter()
         self._cleanup_tasks: set[asyncio.Task[None]] = set()
-        view.on_leaving.append(self._note_leaving)
+        view.on_runner_leaving.append(self._note_leaving)
 
     def track_run(
         self, exchange: Exchange, choice: Choice, close: Callable[[], None]
--- a/lagoonpost/forwarding/shared.py
+++ b/lagoonpost/forwarding/peer_sync.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from lagoonpost.forwarding.belief import Belief
-from lagoonpost.forwarding.reports import Party, Reports
-from lagoonpost.forwarding.written import Written
+from lagoonpost.forwarding.cluster_state import ClusterState
+from lagoonpost.forwarding.reports import ReportDelegate, ReportExchange
+from lagoonpost.forwarding.usage_gossip import UsageGossip
 from lagoonpost.http.message import Address, parse_address
 from lagoonpost.peers.message import Document
 from lagoonpost.peers.node import Peers, PeerSettings, make_clock
@@ -25,43 +25,43 @@
 from lagoonpost.tables.stamp import find_era
 
 CONFIGURATION_DOCUMENT = "configuration"
-BREAK_SECONDS = 60.0
+BREAK_TTL_SECONDS = 60.0
 """How long the news of an answer that broke off is kept."""
-ENTRY_SECONDS = 3600.0
+ENTRY_TTL_SECONDS = 3600.0
 """How long the news of a runner's entry is kept."""
-NEAR_SHARE = 0.8
+LOCAL_FETCH_SHARE = 0.8
 """Part of the questions for a configuration that stay in the own domain."""
-FETCH_PAUSE = 0.15
+FETCH_DELAY_SECONDS = 0.15
 """Wait for the store's feed before a peer is asked for a configuration."""
-FETCH_SECONDS = 0.6
+FETCH_TIMEOUT_SECONDS = 0.6
 """Longest wait for a peer's configuration. A host that has just gone does not
 answer, and is held to run for seconds; two of them in a row leave time for a
 third within the two seconds in which a configuration is to be in force. One of
 100 KB takes 0.2 s on the slowest links."""
-LOST_SECONDS = 4.0
+STORE_LOSS_MEMORY_SECONDS = 4.0
 """How long a gateway's word that it had lost the store is remembered: entries
 that lapsed are judged for some two seconds after the return, and gateways
 notice it up to a report's pause apart."""
-GATHER_SECONDS = 0.2
+MESH_READ_PAUSE_SECONDS = 0.2
 """Pause after an answer of the store, in which changes gather for the next.
 Rows of 45 runners change 37 times a second, and each change would be a priced
 call; a reclaim is told 2 s ahead."""
-TURN_SECONDS = 0.6
+READER_PAUSE_SECONDS = 0.6
 """The same where a few read for all: three of them at times of their own have
 news after a sixth of a second, and two that are left after a third."""
-SEED_SECONDS = 0.4
+MIN_SEED_PAUSE_SECONDS = 0.4
 """First pause between looks for other gateways in the store."""
-LAST_SEED_SECONDS = 30.0
+MAX_SEED_PAUSE_SECONDS = 30.0
 """Longest pause between them: each look doubles the one before."""
-LOOKERS = 3
+DISCOVERY_GATEWAYS = 3
 """Gateways of a group that look for other groups: one may be lost, one cut
 off from the store, and one is left."""
-IDLE_LOOK_SECONDS = 5.0
+DISCOVERY_CHECK_SECONDS = 5.0
 """Pause after which the others see whether they have to look."""
 SEED_PREFIX = "member/"
 
 
-class Shared:
+class PeerSync:
     """This gateway among the others.
 
     Args:
@@ -79,8 +79,8 @@
     def __init__(
         self,
         settings: HostSettings,
-        belief: Belief,
-        party: Party,
+        cluster: ClusterState,
+        party: ReportDelegate,
         on_break: Callable[[BrokenAnswer], None],
         on_shift: Callable[[Fact], None],
         on_recorded: Callable[[str, float], None],
@@ -90,7 +90,7 @@
     ) -> None:
         self._settings = settings
         self._bounds = settings.bounds
-        self._belief = belief
+        self._cluster = cluster
         self._on_break = on_break
         self._on_shift = on_shift
         self._on_era = on_era
@@ -120,10 +120,10 @@
             traffic=traffic,
             post=post,
         )
-        self.written = Written(
+        self.usage_gossip = UsageGossip(
             settings.name, self.peers.publish, self._end, on_recorded
         )
-        self.reports = Reports(
+        self.reports = ReportExchange(
             settings.name,
             settings.peer,
             party,
@@ -154,7 +154,7 @@
             group.create_task(self.reports.run())
             group.create_task(self._fetch_configurations())
 
-    async def keep_seeds(self, store: Store) -> None:
+    async def discover_gateways(self, store: Store) -> None:
         """Write the own peer address into the store and read the others'.
 
         Settings name three seeds at most, which may all be gone or not
@@ -163,13 +163,13 @@
         each of which lets whole quotas through, so they look again. A few
         of each group do; who is alone is a group.
         """
-        pause = SEED_SECONDS
+        pause = MIN_SEED_PAUSE_SECONDS
         # Seeds that answer at once make most looks needless where all hosts
         # start together.
-        await asyncio.sleep(self._rng.uniform(0.0, SEED_SECONDS / 2))
+        await asyncio.sleep(self._rng.uniform(0.0, MIN_SEED_PAUSE_SECONDS / 2))
         while True:
             if not self._is_looker():
-                await asyncio.sleep(IDLE_LOOK_SECONDS)
+                await asyncio.sleep(DISCOVERY_CHECK_SECONDS)
                 continue
             if not self._seed_written:
                 self._seed_written = await self._write_seed(store)
@@ -179,7 +179,7 @@
                 self.peers.add_seeds(seeds)
             await asyncio.sleep(pause)
             if self._seed_written:
-                pause = min(2 * pause, LAST_SEED_SECONDS)
+                pause = min(2 * pause, MAX_SEED_PAUSE_SECONDS)
 
     async def _write_seed(self, store: Store) -> bool:
         key = f"{SEED_PREFIX}{self._settings.name}"
@@ -189,9 +189,11 @@
 
     def _is_looker(self) -> bool:
         """Tell whether this gateway looks for others that it doesn't know."""
-        return self._settings.name in self.find_roles().hubs[:LOOKERS]
+        return (
+            self._settings.name in self.find_roles().hubs[:DISCOVERY_GATEWAYS]
+        )
 
-    def note_era(self) -> None:
+    def handle_new_era(self) -> None:
         """Write the own address again, as the store lost some rows."""
         self._seed_written = False
 
@@ -199,23 +201,27 @@
 
     def publish_entry(self, key: str) -> None:
         """Tell others of a runner's entry."""
-        entry = self._belief.entries[key]
+        entry = self._cluster.entries[key]
         body = msgspec.msgpack.encode(entry.raw)
         self.peers.publish(
             Fact(
-                "endpoint", key, entry.version, body, self._end(ENTRY_SECONDS)
+                "endpoint",
+                key,
+                entry.version,
+                body,
+                self._end(ENTRY_TTL_SECONDS),
             )
         )
 
     def publish_configuration(self) -> None:
         """Tell others which configuration is in force here."""
-        self.peers.publish(Fact("configuration", "", self._belief.version))
+        self.peers.publish(Fact("configuration", "", self._cluster.version))
 
     def publish_break(self, seen: BrokenAnswer) -> None:
         """Tell others of an answer that broke off."""
         key = f"{seen.fingerprint}/{seen.runner}/{seen.attempt}"
         body = msgspec.msgpack.encode(seen)
-        end = self._end(BREAK_SECONDS)
+        end = self._end(BREAK_TTL_SECONDS)
         self.peers.publish(Fact("crash_seen", key, 1, body, end))
 
     def publish_store_lost(self, lost: bool) -> None:
@@ -229,7 +235,7 @@
             return
         # Above what a run before may have told, also if the clock went back.
         rank = max(held.rank + 1, int(self._end(0.0) * 1000))
-        end = self._end(ENTRY_SECONDS)
+        end = self._end(ENTRY_TTL_SECONDS)
         self.peers.publish(Fact("store_lost", name, rank, _WORDS[lost], end))
 
     def _end(self, seconds: float) -> float:
@@ -247,7 +253,7 @@
     def _learn_entry(self, fact: Fact) -> None:
         self._on_era(find_era(fact.rank))
         raw = msgspec.msgpack.decode(fact.body, type=bytes | None)
-        self._belief.take_entry(fact.key, fact.rank, raw, "peer")
+        self._cluster.apply_entry(fact.key, fact.rank, raw, "peer")
 
     def _learn_break(self, fact: Fact) -> None:
         self._on_break(msgspec.msgpack.decode(fact.body, type=BrokenAnswer))
@@ -256,10 +262,10 @@
         self._on_shift(fact)
 
     def _learn_recorded(self, fact: Fact) -> None:
-        self.written.learn_recorded(fact)
+        self.usage_gossip.handle_recorded(fact)
 
     def _learn_usage(self, fact: Fact) -> None:
-        self.written.learn_usage(fact)
+        self.usage_gossip.handle_usage(fact)
 
     def _learn_store_lost(self, fact: Fact) -> None:
         now = asyncio.get_running_loop().time()
@@ -268,15 +274,15 @@
         self._forget_roles()
 
     def _learn_version(self, fact: Fact) -> None:
-        if fact.rank > self._belief.version:
+        if fact.rank > self._cluster.version:
             self._wanted_version = max(self._wanted_version, fact.rank)
             self._wanted.set()
 
     async def _fetch_configurations(self) -> None:
         while True:
             await self._wanted.wait()
-            await asyncio.sleep(FETCH_PAUSE)
-            if self._belief.version >= self._wanted_version:
+            await asyncio.sleep(FETCH_DELAY_SECONDS)
+            if self._cluster.version >= self._wanted_version:
                 self._wanted.clear()
                 continue
             peer = self._choose_source()
@@ -285,11 +291,11 @@
             documents = await self.peers.fetch(
                 peer,
                 CONFIGURATION_DOCUMENT,
-                self._belief.version,
-                FETCH_SECONDS,
+                self._cluster.version,
+                FETCH_TIMEOUT_SECONDS,
             )
             for document in documents or ():
-                if self._belief.take_configuration(document.body, peer.name):
+                if self._cluster.apply_configuration(document.body, peer.name):
                     self.publish_configuration()
 
     def _choose_source(self) -> Member | None:
@@ -301,15 +307,15 @@
         others = self.find_others()
         here = self._settings.failure_domain
         near = [each for each in others if each.failure_domain == here]
-        if near and self._rng.random() < NEAR_SHARE:
+        if near and self._rng.random() < LOCAL_FETCH_SHARE:
             return self._rng.choice(near)
         return self._rng.choice(others) if others else None
 
     def _give_documents(self, kind: str, after: int) -> Sequence[Document]:
-        version = self._belief.version
+        version = self._cluster.version
         if kind != CONFIGURATION_DOCUMENT or version <= after:
             return ()
-        return (Document(version, self._belief.raw_configuration),)
+        return (Document(version, self._cluster.raw_configuration),)
 
     # Views
 
@@ -327,16 +333,16 @@
         """Tell whether this gateway reads the store for others."""
         return self._settings.name in self.find_roles().readers
 
-    def find_pause(self) -> float | None:
+    def find_read_pause(self) -> float | None:
         """Return the pause between reads of the store; None to read none."""
         roles = self.find_roles()
-        heard = self.reports.find_heard()
+        heard = self.reports.find_contact_ages()
         bound = self._bounds.news_seconds
         if not should_read_store(self._settings.name, roles, heard, bound):
             return None
-        return GATHER_SECONDS if roles.mesh else TURN_SECONDS
+        return MESH_READ_PAUSE_SECONDS if roles.mesh else READER_PAUSE_SECONDS
 
-    def was_store_away(self) -> bool:
+    def was_store_unavailable(self) -> bool:
         """Tell whether half of the gateways had lost the store lately.
 
         True if there is no other gateway: nobody can say that it was not.
@@ -344,7 +350,7 @@
         others = [each.name for each in self.find_others()]
         if not others:
             return True
-        oldest = asyncio.get_running_loop().time() - LOST_SECONDS
+        oldest = asyncio.get_running_loop().time() - STORE_LOSS_MEMORY_SECONDS
         never = _Lost(0, False, 0.0)
         told = [self._lost.get(name, never) for name in others]
         away = [
@@ -386,11 +392,11 @@
 
 
 _LEARNERS = {
-    "endpoint": Shared._learn_entry,
-    "configuration": Shared._learn_version,
-    "crash_seen": Shared._learn_break,
-    "store_lost": Shared._learn_store_lost,
-    "shift": Shared._learn_shift,
-    "recorded": Shared._learn_recorded,
-    "usage": Shared._learn_usage,
+    "endpoint": PeerSync._learn_entry,
+    "configuration": PeerSync._learn_version,
+    "crash_seen": PeerSync._learn_break,
+    "store_lost": PeerSync._learn_store_lost,
+    "shift": PeerSync._learn_shift,
+    "recorded": PeerSync._learn_recorded,
+    "usage": PeerSync._learn_usage,
 }
--- a/lagoonpost/forwarding/bursts.py
+++ b/lagoonpost/forwarding/quota_recorder.py
@@ -7,7 +7,7 @@
 import eliot
 import msgspec
 
-from lagoonpost.forwarding.shared import Shared
+from lagoonpost.forwarding.peer_sync import PeerSync
 from lagoonpost.store.clock import RemoteClock, read_clock
 from lagoonpost.store.store import (
     Condition,
@@ -29,10 +29,10 @@
 for one. What is left of the burst lasts for the call."""
 FIRST_PAUSE_SECONDS = 0.1
 """Pause before the records are read: time to find a hub."""
-LAST_PAUSE_SECONDS = 2.0
+MAX_PAUSE_SECONDS = 2.0
 """Longest pause between looks for a store that does not answer: all gateways
 may have started, and each look has its price."""
-MOST = 0.5
+MAJORITY_SHARE = 0.5
 """Part of the gateways from which on one that hears it records for all. The
 records of those that hear fewer have their own use, and are added to it."""
 
@@ -57,7 +57,7 @@
     use: list[tuple[float, float]]
 
 
-class Bursts:
+class QuotaRecorder:
     """Keeps the records.
 
     Args:
@@ -73,25 +73,25 @@
         store: ClockedStore,
         name: str,
         quotas: Quotas,
-        shared: Shared,
+        peer_sync: PeerSync,
         find_workspaces: Callable[[], tuple[Workspace, ...]],
     ) -> None:
         self._store = store
         self._name = name
         self._quotas = quotas
-        self._shared = shared
+        self._peer_sync = peer_sync
         self._find_workspaces = find_workspaces
         self._wanted: set[str] = set()
         self._versions: dict[str, int] = {}
         self._nudged = asyncio.Event()
 
-    def look(self) -> None:
+    def check_usage(self) -> None:
         """See whether a workspace's use has to be recorded by now."""
-        hubs = self._shared.find_roles().hubs[: len(RECORD_SHARES)]
-        part = self._shared.reports.heard_part()
-        if part > MOST and self._name not in hubs:
+        hubs = self._peer_sync.find_roles().hubs[: len(RECORD_SHARES)]
+        part = self._peer_sync.reports.reachable_share()
+        if part > MAJORITY_SHARE and self._name not in hubs:
             return
-        rank = hubs.index(self._name) if part > MOST else 0
+        rank = hubs.index(self._name) if part > MAJORITY_SHARE else 0
         found = self._quotas.list_bursting(
             self._find_workspaces(), RECORD_SHARES[rank], part, read_clock()
         )
@@ -108,7 +108,7 @@
             await self._record()
 
     def _make_record(self, name: str, alone: bool, now: float) -> _Record:
-        gateways = 0 if alone else self._shared.count_gateways()
+        gateways = 0 if alone else self._peer_sync.count_gateways()
         use = self._quotas.make_record(name, gateways, now)
         return _Record(name, self._store.clock.find_now() or 0.0, use)
 
@@ -117,8 +117,8 @@
         pause = FIRST_PAUSE_SECONDS
         while self._quotas.prior_usage.needs_records(read_clock()):
             await asyncio.sleep(pause)
-            pause = min(2 * pause, LAST_PAUSE_SECONDS)
-            if self._shared.reports.has_sums():
+            pause = min(2 * pause, MAX_PAUSE_SECONDS)
+            if self._peer_sync.reports.has_summary():
                 self._quotas.prior_usage.load_records({}, read_clock())
                 return
             rows = await self._store.scan(BURST_PREFIX)
@@ -142,7 +142,7 @@
     async def _record(self) -> None:
         names, self._wanted = sorted(self._wanted), set()
         now = read_clock()
-        alone = self._shared.reports.heard_part() <= MOST
+        alone = self._peer_sync.reports.reachable_share() <= MAJORITY_SHARE
         suffix = f"/{self._name}" if alone else ""
         writes = [
             Write(
@@ -176,7 +176,7 @@
         for name in names:
             self._quotas.note_recorded(name, now)
             if not alone:
-                self._shared.written.publish_recorded(name, took)
+                self._peer_sync.usage_gossip.publish_recorded(name, took)
         eliot.log_message(
             message_type="lagoonpost:quota:recorded",
             workspaces=names,
--- a/lagoonpost/forwarding/reports.py
+++ b/lagoonpost/forwarding/reports.py
@@ -28,41 +28,41 @@
 """Pause between reports. What others let through meanwhile is not known:
 at 350,000 tokens a second, six times a large workspace's usual, that is
 140,000 tokens of a quota; a longer pause would leave more."""
-SOON_SECONDS = 0.1
+MIN_REPORT_SECONDS = 0.1
 """Pause between reports while there is much to tell."""
-FRESH_SECONDS = 2.0
+REPORT_MAX_AGE_SECONDS = 2.0
 """Age from which a report no longer tells what its gateway does: four more
 should have come since."""
-SUMMARY_SECONDS = 4.0
+SUMMARY_MAX_AGE_SECONDS = 4.0
 """Age from which a hub's sums no longer hold. A hub that froze is suspected
 and replaced within some two and a half; until then its domain would let only
 its own hundredth of each quota through."""
-KEEP_SECONDS = 60.0
+REPORT_RETENTION_SECONDS = 60.0
 """How long a report is kept for usage that is still to be reported."""
-HUB_REPORTS = 250.0
+HUB_REPORTS_PER_SECOND = 250.0
 """Reports a second that a hub takes, 0.8% of a core at 30 us each. With more
 gateways the pause between reports grows: 1.3 s at 320."""
-PART_SECONDS = 0.1
+REACHABLE_SHARE_CACHE_SECONDS = 0.1
 """How long the part of the gateways that is heard is taken to stay the same:
 a tenth of the time in which one that is lost is noticed."""
-MOST_SENT = 64
+MAX_SENT_REPORTS = 64
 """Own reports that are remembered until a hub has them in its sums: six
 seconds of them at the fastest pace."""
 
 
-class Party(Protocol):
+class ReportDelegate(Protocol):
     """What this gateway has to tell, and hears."""
 
     def make_report(self, name: str, run: str) -> GatewayReport:
         """Return the own report's contents."""
 
-    def hear_report(self, report: GatewayReport) -> None:
+    def handle_report(self, report: GatewayReport) -> None:
         """Take another gateway's new report."""
 
     def list_taken(self) -> UsageByAge:
         """Return what all gateways let through."""
 
-    def hear_taken(self, taken: UsageByAge, since: float) -> None:
+    def apply_taken(self, taken: UsageByAge, since: float) -> None:
         """Take a hub's sums, which hold own use up to a time."""
 
 
@@ -71,7 +71,7 @@
     work: dict[str, RunnerWork]
 
 
-class Reports:
+class ReportExchange:
     """Sends and takes reports and sums.
 
     Args:
@@ -93,7 +93,7 @@
         self,
         name: str,
         address: Address,
-        party: Party,
+        party: ReportDelegate,
         find_members: Callable[[], tuple[Member, ...]],
         find_all_members: Callable[[], tuple[Member, ...]],
         find_roles: Callable[[], Roles],
@@ -111,7 +111,7 @@
         post.receive(GatewayReport, self._take_report)
         post.receive(HubSummary, self._take_summary)
         self.run_id = secrets.token_hex(4)
-        self.held: dict[str, tuple[float, GatewayReport]] = {}
+        self.newest_reports: dict[str, tuple[float, GatewayReport]] = {}
         self._started = 0.0
         self._rank = 0
         self._summaries = 0
@@ -137,8 +137,10 @@
             self._send_report()
             self._send_summaries()
             gateways = len(self._find_members())
-            crowd = max(1.0, gateways / HUB_REPORTS / REPORT_SECONDS)
-            soonest = self._now() + SOON_SECONDS * crowd
+            crowd = max(
+                1.0, gateways / HUB_REPORTS_PER_SECOND / REPORT_SECONDS
+            )
+            soonest = self._now() + MIN_REPORT_SECONDS * crowd
             await self._wait_nudge(REPORT_SECONDS * crowd)
             if self._now() < soonest:
                 await asyncio.sleep(soonest - self._now())
@@ -151,7 +153,7 @@
             pass
         self._nudged.clear()
 
-    def nudge(self) -> None:
+    def send_soon(self) -> None:
         """Send the next report soon, as it has much to tell."""
         self._nudged.set()
 
@@ -168,7 +170,7 @@
         self._drop_old()
         self._keep_report(report)
         self._sent[self._rank] = _Sent(self._now(), report.work)
-        self._sent.pop(self._rank - MOST_SENT, None)
+        self._sent.pop(self._rank - MAX_SENT_REPORTS, None)
         hubs = frozenset(self._find_roles().hubs)
         targets = [
             parse_address(each.address)
@@ -194,7 +196,7 @@
         first = next(n for n in roles.hubs if domains.get(n) == here)
         if not mine or first != self._name:
             return
-        fresh = self.fresh(with_own=True)
+        fresh = self.list_fresh_reports(with_own=True)
         # The newest run of each name comes last.
         ranks = {
             report.name: (report.run, report.sequence) for report in fresh
@@ -220,22 +222,24 @@
 
     def _take_report(self, report: GatewayReport, sender: Address) -> None:
         if report.run != self.run_id and self._keep_report(report):
-            self._party.hear_report(report)
+            self._party.handle_report(report)
 
     def _keep_report(self, report: GatewayReport) -> bool:
         """Keep a report unless a later one of the same run came before."""
         key = f"{report.name}/{report.run}"
         now = self._now()
-        held = self.held.get(key)
+        held = self.newest_reports.get(key)
         if held is not None and held[1].sequence >= report.sequence:
             return False
-        self.held[key] = (now, report)
+        self.newest_reports[key] = (now, report)
         return True
 
     def _drop_old(self) -> None:
-        oldest = self._now() - KEEP_SECONDS
-        for key in [k for k, (at, _) in self.held.items() if at < oldest]:
-            del self.held[key]
+        oldest = self._now() - REPORT_RETENTION_SECONDS
+        for key in [
+            k for k, (at, _) in self.newest_reports.items() if at < oldest
+        ]:
+            del self.newest_reports[key]
 
     def _take_summary(self, summary: HubSummary, sender: Address) -> None:
         """Take a hub's sums, less what this gateway has in them itself."""
@@ -251,40 +255,42 @@
         self._summary = (self._now(), summary)
         self._others = subtract_work(summary.work, sent.work if sent else {})
         since = sent.at if sent else 0.0
-        self._party.hear_taken(summary.recent_usage, since)
+        self._party.apply_taken(summary.recent_usage, since)
 
     # Views
 
-    def fresh(self, with_own: bool = False) -> list[GatewayReport]:
+    def list_fresh_reports(
+        self, with_own: bool = False
+    ) -> list[GatewayReport]:
         """Return the gateways' reports that are not too old."""
-        oldest = self._now() - FRESH_SECONDS
+        oldest = self._now() - REPORT_MAX_AGE_SECONDS
         return [
             report
-            for at, report in self.held.values()
+            for at, report in self.newest_reports.values()
             if at > oldest and (with_own or report.run != self.run_id)
         ]
 
-    def all_reports(self) -> list[GatewayReport]:
+    def list_reports(self) -> list[GatewayReport]:
         """Return the newest report of every run within the last minute."""
-        return [report for _, report in self.held.values()]
+        return [report for _, report in self.newest_reports.values()]
 
-    def sum_others(self) -> dict[str, RunnerWork]:
+    def sum_peer_work(self) -> dict[str, RunnerWork]:
         """Return the other gateways' open work by runner."""
         if self.is_hub():
-            return add_work(self.fresh())
+            return add_work(self.list_fresh_reports())
         return self._others if self._has_fresh_summary() else {}
 
-    def has_sums(self) -> bool:
+    def has_summary(self) -> bool:
         """Tell whether a hub tells this gateway what all let through."""
         return not self.is_hub() and self._has_fresh_summary()
 
-    def heard_part(self) -> float:
+    def reachable_share(self) -> float:
         """Return the part of all gateways that is heard, with this one.
 
         Each request asks, and it takes a look at every gateway.
         """
         at, part = self._heard_part
-        if not at <= self._now() < at + PART_SECONDS:
+        if not at <= self._now() < at + REACHABLE_SHARE_CACHE_SECONDS:
             part = self._find_heard_part()
             self._heard_part = self._now(), part
         return part
@@ -293,7 +299,9 @@
         now = self._clock()
         everyone = self._find_all_members()
         if self.is_hub():
-            names = {report.name for report in self.fresh()} | {self._name}
+            names = {report.name for report in self.list_fresh_reports()} | {
+                self._name
+            }
             unheard = find_unreachable(everyone, names, now)
             return compute_reachable_share(len(names), len(unheard))
         heard = 1
@@ -307,12 +315,12 @@
         now = self._now()
         ages = [
             now - at + report.read_age
-            for at, report in self.held.values()
+            for at, report in self.newest_reports.values()
             if report.read_age is not None
         ]
         return min(ages, default=None)
 
-    def find_heard(self) -> ReportAge:
+    def find_contact_ages(self) -> ReportAge:
         """Return how old the last news of the hub and the readers is."""
         now = self._now()
         if self.is_hub():
@@ -329,7 +337,7 @@
     def _has_fresh_summary(self) -> bool:
         if self._summary is None:
             return False
-        return self._summary[0] > self._now() - SUMMARY_SECONDS
+        return self._summary[0] > self._now() - SUMMARY_MAX_AGE_SECONDS
 
     def _now(self) -> float:
         # After a suspension no news is fresh.
--- a/lagoonpost/forwarding/follow.py
+++ b/lagoonpost/forwarding/store_follower.py
@@ -5,7 +5,7 @@
 
 import eliot
 
-from lagoonpost.forwarding.belief import Belief
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.timers import sleep_aligned
 from lagoonpost.platform.store import (
     CONFIGURATION_KEY,
@@ -19,27 +19,27 @@
 )
 from lagoonpost.store.store import Unavailable, pause_after_failure
 
-LONGEST_WAIT_SECONDS = 3.0
+MAX_WAIT_SECONDS = 3.0
 """Most time for which a feed's call is held back: longer saves few calls."""
-LEAST_WAIT_SECONDS = 0.2
+MIN_WAIT_SECONDS = 0.2
 """The same at least, as each call has its price."""
 MARGIN_SECONDS = 0.5
 """What is left of the time for missed news to come: the call that brings it,
 its way to the gateways that do not read the store, and late timers."""
 
-REST_SECONDS = 0.25
+STANDBY_POLL_SECONDS = 0.25
 """Pause between looks whether this gateway has to read for others again."""
 
-LOST_LOOKS = 8
+LOST_STANDBY_POLLS = 8
 """Rests after which a gateway that has lost the store looks for its return
 while others read for it, two seconds: if all that have lost it asked as often
 as a reader, an outage would cost more calls than a day."""
 
-OnChange = Callable[[FeedRow], None]
+RowCallback = Callable[[FeedRow], None]
 Answer = Page | HistoryLost | Unavailable
 
 
-def find_wait(contact: float, pause: float) -> float:
+def find_feed_wait(contact: float, pause: float) -> float:
     """Return how long a feed's call may be held back.
 
     A call whose answer is lost, with its connection or in an outage, tells
@@ -51,7 +51,7 @@
         pause: Seconds before the call in which changes gather.
     """
     wait = contact - pause - FEED_SLACK_SECONDS - MARGIN_SECONDS
-    return min(LONGEST_WAIT_SECONDS, max(LEAST_WAIT_SECONDS, wait))
+    return min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, wait))
 
 
 _FAILURE_KINDS = {
@@ -81,7 +81,7 @@
         store: PlatformStore,
         name: str,
         table: str,
-        on_row: OnChange,
+        on_row: RowCallback,
         on_all: Callable[[Page], None],
         on_back: Callable[[], None],
         find_pause: Callable[[], float | None],
@@ -115,7 +115,7 @@
         self._read_once = False
         self._give_up_call()
 
-    def note_era(self) -> None:
+    def handle_new_era(self) -> None:
         """Read the whole table, as the store came back from an older copy.
 
         A call under way may be held back for long; that which told of the
@@ -141,7 +141,7 @@
             if self._may_rest():
                 # What changes meanwhile is not in a feed from here on.
                 self._version = None
-                await sleep_aligned(REST_SECONDS)
+                await sleep_aligned(STANDBY_POLL_SECONDS)
                 continue
             answer = await self._ask_or_restart()
             if isinstance(answer, Unavailable):
@@ -178,10 +178,10 @@
 
     async def _rest_lost(self) -> None:
         """Wait before the next look for a lost store, unless it is needed."""
-        for _ in range(LOST_LOOKS):
+        for _ in range(LOST_STANDBY_POLLS):
             if not self._read_once or self._find_pause() is not None:
                 return
-            await sleep_aligned(REST_SECONDS)
+            await sleep_aligned(STANDBY_POLL_SECONDS)
 
     async def _ask_or_restart(self) -> Answer:
         self._asked_at = asyncio.get_running_loop().time()
@@ -242,7 +242,7 @@
     return None if seconds is None else round(seconds, 3)
 
 
-class BeliefFollower:
+class StoreFollower:
     """Keeps a belief up to date by the store.
 
     Args:
@@ -259,15 +259,15 @@
     def __init__(
         self,
         store: PlatformStore,
-        belief: Belief,
+        cluster: ClusterState,
         publish_entry: Callable[[str], None],
         publish_configuration: Callable[[], None],
         find_pause: Callable[[], float | None],
         find_wait: Callable[[], float],
-        on_order: OnChange,
+        on_order: RowCallback,
     ) -> None:
         self._on_order = on_order
-        self._belief = belief
+        self._cluster = cluster
         self._publish_entry = publish_entry
         self._publish_configuration = publish_configuration
         self.operator = TableFollower(
@@ -286,7 +286,7 @@
             ENDPOINT_TABLE,
             self._take_endpoint_row,
             self._take_all,
-            belief.note_store_back,
+            cluster.handle_store_recovery,
             find_pause,
             find_wait,
         )
@@ -307,10 +307,10 @@
         ages = [(each.name, each.find_age()) for each in tables]
         return [(name, age) for name, age in ages if age is not None]
 
-    def note_era(self) -> None:
+    def handle_new_era(self) -> None:
         """Read all tables, as the store came back from an older copy."""
-        self.operator.note_era()
-        self.endpoints.note_era()
+        self.operator.handle_new_era()
+        self.endpoints.handle_new_era()
 
     def restart(self) -> None:
         """Read all tables anew, over new connections."""
@@ -327,16 +327,16 @@
         if row.key != CONFIGURATION_KEY or row.value is None:
             self._on_order(row)
             return
-        if self._belief.take_configuration(row.value, "store"):
+        if self._cluster.apply_configuration(row.value, "store"):
             self._publish_configuration()
 
     def _take_endpoint_row(self, row: FeedRow) -> None:
-        if self._belief.take_entry(row.key, row.version, row.value, "store"):
+        if self._cluster.apply_entry(row.key, row.version, row.value, "store"):
             self._publish_entry(row.key)
 
     def _take_all(self, page: Page) -> None:
         """Delete what a whole read no longer has."""
         present = {row.key for row in page.rows}
-        for key, entry in list(self._belief.entries.items()):
+        for key, entry in list(self._cluster.entries.items()):
             if key not in present and entry.endpoint is not None:
                 self._take_endpoint_row(FeedRow(key, page.version, None))
--- a/lagoonpost/forwarding/usage.py
+++ b/lagoonpost/forwarding/usage_counter.py
@@ -7,7 +7,7 @@
 report may still be due, which are two or three and one to be sure."""
 
 
-class UsageCount:
+class UsageCounter:
     """This gateway's counts.
 
     Args:
@@ -20,13 +20,13 @@
         self._clock = clock
         self.begun: dict[int, dict[str, int]] = {}
 
-    def window(self) -> int:
+    def find_current_window(self) -> int:
         """Return the number of the present window."""
         return int(self._clock() // self._seconds)
 
-    def note_begun(self, workspace: str) -> None:
+    def record_begun(self, workspace: str) -> None:
         """Count one request in the present window."""
-        window = self.window()
+        window = self.find_current_window()
         counts = self.begun.get(window)
         if counts is None:
             counts = self.begun[window] = {}
--- a/lagoonpost/forwarding/written.py
+++ b/lagoonpost/forwarding/usage_gossip.py
@@ -6,13 +6,13 @@
 
 from lagoonpost.tables.fact import Fact
 
-KEEP_SECONDS = 60.0
+FACT_TTL_SECONDS = 60.0
 """How long the news of what was written into the store is kept."""
 KEPT_WINDOWS = 12
 """Usage windows whose report is remembered: a minute of five-second ones."""
 
 
-class Written:
+class UsageGossip:
     """Rows that were written, by this gateway or another.
 
     Args:
@@ -44,10 +44,10 @@
             return
         self._keep_usage(window, counts)
         body = msgspec.msgpack.encode(counts)
-        end = self._find_end(KEEP_SECONDS)
+        end = self._find_end(FACT_TTL_SECONDS)
         self._publish(Fact("usage", str(window), 1, body, end))
 
-    def learn_usage(self, fact: Fact) -> None:
+    def handle_usage(self, fact: Fact) -> None:
         """Take what another gateway reports of a window."""
         counts = msgspec.msgpack.decode(fact.body, type=dict[str, int])
         self._keep_usage(int(fact.key), counts)
@@ -67,10 +67,10 @@
         key = f"{workspace}/{self._name}"
         rank = int(self._find_end(0.0) * 1000)
         body = msgspec.msgpack.encode(age)
-        end = self._find_end(KEEP_SECONDS)
+        end = self._find_end(FACT_TTL_SECONDS)
         self._publish(Fact("recorded", key, rank, body, end))
 
-    def learn_recorded(self, fact: Fact) -> None:
+    def handle_recorded(self, fact: Fact) -> None:
         """Take that the store has a workspace's use."""
         age = msgspec.msgpack.decode(fact.body, type=float)
         self._on_recorded(fact.key.rpartition("/")[0], age)
--- a/lagoonpost/forwarding/shifts.py
+++ b/lagoonpost/forwarding/version_shifts.py
@@ -37,8 +37,8 @@
 )
 
 Counts = dict[str, VersionCounts]
-ENDS: tuple[ShiftPhase, ...] = ("complete", "taken_back")
-BAD: tuple[ShiftPhase, ...] = ("taken_back",)
+FINAL_PHASES: tuple[ShiftPhase, ...] = ("complete", "taken_back")
+ROLLBACK_PHASES: tuple[ShiftPhase, ...] = ("taken_back",)
 
 
 class _Told(NamedTuple):
@@ -65,8 +65,8 @@
         self.phase: ShiftPhase = "trial"
         self.exposure = Exposure()
         self.counts: Counts = {}
-        self.judge = ShiftEvaluator(order, read_clock())
-        self.told: ShiftPhase | None = None
+        self.evaluator = ShiftEvaluator(order, read_clock())
+        self.written_phase: ShiftPhase | None = None
 
     @property
     def rank(self) -> int:
@@ -76,7 +76,7 @@
         )
 
 
-class Shifts:
+class VersionShifts:
     """All orders that are known here, the newest of each service.
 
     Args:
@@ -102,7 +102,7 @@
 
     # Learning
 
-    def take_row(self, row: FeedRow) -> None:
+    def handle_row(self, row: FeedRow) -> None:
         """Take an order from the operators' table."""
         if row.value is None or not row.key.startswith(ORDER_PREFIX):
             return
@@ -113,13 +113,13 @@
                 message_type="lagoonpost:shift:unreadable", detail=str(error)
             )
             return
-        if self._take(order, "trial", "store"):
+        if self._apply(order, "trial", "store"):
             self._tell(self._shifts[order.service])
 
-    def learn(self, fact: Fact) -> None:
+    def handle_fact(self, fact: Fact) -> None:
         """Take an order or its phase from another gateway."""
         told = msgspec.msgpack.decode(fact.body, type=_Told)
-        self._take(told.order, told.phase, "peer")
+        self._apply(told.order, told.phase, "peer")
         held = self._shifts[told.order.service]
         if told.before and held.order == told.order:
             self._note_start(held, told.before)
@@ -129,9 +129,11 @@
         # An order past its time gains nothing by it, and by one wrong clock
         # a version would get all requests before it was tried.
         if 0 <= age <= shift.order.seconds:
-            shift.judge.merge_start(read_clock() - age)
+            shift.evaluator.merge_start(read_clock() - age)
 
-    def _take(self, order: ShiftOrder, phase: ShiftPhase, source: str) -> bool:
+    def _apply(
+        self, order: ShiftOrder, phase: ShiftPhase, source: str
+    ) -> bool:
         """Take what is newer; tell whether it was."""
         held = self._shifts.get(order.service)
         if held is not None and self._is_older_copy(held, order):
@@ -148,7 +150,7 @@
             return False
         held.phase = phase
         if phase == "all":
-            held.judge.mark_all_new(read_clock())
+            held.evaluator.mark_all_new(read_clock())
         eliot.log_message(
             message_type="lagoonpost:shift:phase",
             source=source,
@@ -165,13 +167,13 @@
             and _name_content(order) in self._orders
         )
 
-    def note_era(self) -> None:
+    def handle_new_era(self) -> None:
         """Tell operators again how orders are, as the store lost some rows."""
         for shift in self._shifts.values():
-            shift.told = None
+            shift.written_phase = None
 
     def _tell(self, shift: _Shift) -> None:
-        age = read_clock() - shift.judge.started
+        age = read_clock() - shift.evaluator.started
         before = round((age - self._clock()) * 1000)
         told = _Told(shift.order, shift.phase, before)
         body = msgspec.msgpack.encode(told)
@@ -179,7 +181,7 @@
 
     # Requests
 
-    def choose_group(
+    def choose_candidates(
         self, service: str, runners: Sequence[Endpoint], gateways: int
     ) -> Sequence[Endpoint]:
         """Return the runners among which a request may be placed.
@@ -219,7 +221,7 @@
     ) -> None:
         """Count an answer, or that it broke off."""
         shift = self._shifts.get(endpoint.service)
-        if shift is None or shift.phase in ENDS:
+        if shift is None or shift.phase in FINAL_PHASES:
             return
         seen = (1, int(failed), int(slow))
         none = (0, 0, 0)
@@ -233,7 +235,7 @@
         return {
             service: shift.counts
             for service, shift in self._shifts.items()
-            if shift.counts and shift.phase not in ENDS
+            if shift.counts and shift.phase not in FINAL_PHASES
         }
 
     # The duty of one gateway at a time
@@ -254,16 +256,16 @@
         """
         held = list(reports)
         for shift in list(self._shifts.values()):
-            if shift.told is None:
+            if shift.written_phase is None:
                 # An end that was written before comes before any judgement.
                 await self._tell_operators(shift, store, may_go_on)
             if not may_go_on():
                 return
             self._judge(shift, held, SHIFT_PHASES)
-            if shift.told is not None:
+            if shift.written_phase is not None:
                 await self._tell_operators(shift, store, may_go_on)
 
-    def watch(self, reports: Iterable[GatewayReport]) -> None:
+    def roll_back_bad_versions(self, reports: Iterable[GatewayReport]) -> None:
         """Take bad versions back while it is another gateway's duty.
 
         That one may have died, and its lease lasts longer than a bad version
@@ -274,13 +276,13 @@
         """
         held = list(reports)
         for shift in self._shifts.values():
-            if shift.judge.may_roll_back(read_clock()):
-                self._judge(shift, held, BAD)
+            if shift.evaluator.may_roll_back(read_clock()):
+                self._judge(shift, held, ROLLBACK_PHASES)
 
-    def pass_on(self) -> None:
+    def hand_over(self) -> None:
         """Note that another gateway may tell operators from now on."""
         for shift in self._shifts.values():
-            shift.told = None
+            shift.written_phase = None
 
     def _judge(
         self,
@@ -290,10 +292,10 @@
     ) -> None:
         service = shift.order.service
         counts = _sum_counts(held, service)
-        phase = shift.judge.advance(shift.phase, counts, read_clock())
+        phase = shift.evaluator.advance(shift.phase, counts, read_clock())
         if phase == shift.phase or phase not in allowed:
             return
-        self._take(shift.order, phase, "own")
+        self._apply(shift.order, phase, "own")
         self._tell(shift)
         eliot.log_message(
             message_type="lagoonpost:shift:judged",
@@ -315,8 +317,8 @@
         so that the first one stands.
         """
         key = f"{ORDER_PREFIX}{shift.order.service}"
-        order, told = shift.order, shift.told
-        if told in ENDS or (
+        order, told = shift.order, shift.written_phase
+        if told in FINAL_PHASES or (
             told is not None
             and make_status(order, told) == make_status(order, shift.phase)
         ):
@@ -328,15 +330,15 @@
         if end is not None:
             # Only the own order's end counts; one to the same version that
             # was given again is not told apart, and has ended as well.
-            if self._take(shift.order, end, "status"):
+            if self._apply(shift.order, end, "status"):
                 self._tell(shift)
-            shift.told = end
+            shift.written_phase = end
             return
         phase = shift.phase
         status = make_status(shift.order, phase)
         outcome = await store.write_status(key, row.version, status)
         if isinstance(outcome, Committed):
-            shift.told = phase
+            shift.written_phase = phase
 
 
 def _name_content(order: ShiftOrder) -> ShiftOrder:
@@ -364,8 +366,8 @@
     return total
 
 
-async def keep_shifting(
-    shifts: Shifts,
+async def run_version_shifts(
+    shifts: VersionShifts,
     store: PlatformStore,
     may_advance: Callable[[], bool],
     may_watch: Callable[[], bool],
@@ -387,6 +389,6 @@
         if may_advance():
             await shifts.advance(find_reports(), store, may_advance)
             continue
-        shifts.pass_on()
+        shifts.hand_over()
         if may_watch():
-            shifts.watch(find_reports())
+            shifts.roll_back_bad_versions(find_reports())
--- a/test/test_bursts.py
+++ b/test/test_bursts.py
@@ -6,7 +6,10 @@
 from memory_store import MemoryStore
 from played_loop import play_time
 
-from lagoonpost.forwarding.bursts import FIRST_PAUSE_SECONDS, Bursts
+from lagoonpost.forwarding.quota_recorder import (
+    FIRST_PAUSE_SECONDS,
+    QuotaRecorder,
+)
 from lagoonpost.store.clock import RemoteClock, read_clock
 from lagoonpost.systems.quota import Quotas
 from lagoonpost.tables.configuration import Workspace
@@ -51,7 +54,9 @@
                 publish_recorded=lambda name, age: self.told.append(name)
             ),
         )
-        self.bursts = Bursts(store, name, self.quotas, shared, lambda: (HOT,))
+        self.bursts = QuotaRecorder(
+            store, name, self.quotas, shared, lambda: (HOT,)
+        )
 
     def use(self, units: float) -> float:
         """Ask for units in one moment and return how many were let through."""
@@ -61,7 +66,7 @@
             if self.quotas.take(HOT, UNITS, self.part, now) is not None:
                 break
             passed += UNITS
-            self.bursts.look()
+            self.bursts.check_usage()
         return passed
 
     async def run(self) -> None:
--- a/test/test_era.py
+++ b/test/test_era.py
@@ -9,7 +9,10 @@
 from played_store import PlayedClient
 from test_follow import STORE, Host, count_seconds, start_host
 
-from lagoonpost.forwarding.belief import LAPSE_SECONDS, Belief
+from lagoonpost.forwarding.cluster_state import (
+    LAPSE_GRACE_SECONDS,
+    ClusterState,
+)
 from lagoonpost.http.message import Address
 from lagoonpost.platform.store import (
     ENDPOINT_TABLE,
@@ -151,12 +154,12 @@
 
     def setup_method(self) -> None:
         self.now = 100.0
-        self.belief = Belief(lambda: self.now)
+        self.belief = ClusterState(lambda: self.now)
 
     def take(self, era: int, version: int, entry: Entry | None) -> bool:
         raw = None if entry is None else msgspec.json.encode(entry)
         stamp = make_stamp(era, version)
-        return self.belief.take_entry("one", stamp, raw, "store")
+        return self.belief.apply_entry("one", stamp, raw, "store")
 
     def serves(self) -> bool:
         return bool(self.belief.find_runners("desk"))
@@ -191,11 +194,11 @@
     def test_a_new_runner_that_the_store_lost_serves_until_it_writes(self):
         """Guards against runners that all gateways drop for some seconds."""
         self.take(0, 20, write_entry(1))
-        self.belief.was_store_away = lambda: False
-        self.belief.note_era()
+        self.belief.was_store_unavailable = lambda: False
+        self.belief.handle_new_era()
         self.take(1, 15, None)
         assert self.serves()
-        self.now += LAPSE_SECONDS
+        self.now += LAPSE_GRACE_SECONDS
         self.belief.drop_lapsed()
         assert not self.serves()
 
@@ -223,7 +226,10 @@
 
         async def story(host: Host) -> None:
             eras = host.store.eras
-            eras.on_era += [host.belief.note_era, host.follower.note_era]
+            eras.on_era += [
+                host.belief.handle_new_era,
+                host.follower.handle_new_era,
+            ]
             for number in range(2, 6):
                 await host.rows.put("op", "config", make_configuration(number))
                 await host.rows.put("servers", "desk-2", write_entry(number))
--- a/test/test_follow.py
+++ b/test/test_follow.py
@@ -9,16 +9,19 @@
 from played_loop import play_time
 from played_store import PlayedClient
 
-from lagoonpost.forwarding.belief import Belief
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.daemon import MAINTENANCE_INTERVAL_SECONDS
-from lagoonpost.forwarding.follow import (
-    LEAST_WAIT_SECONDS,
-    LONGEST_WAIT_SECONDS,
-    REST_SECONDS,
-    BeliefFollower,
-    find_wait,
+from lagoonpost.forwarding.peer_sync import (
+    MESH_READ_PAUSE_SECONDS,
+    READER_PAUSE_SECONDS,
+)
+from lagoonpost.forwarding.store_follower import (
+    MAX_WAIT_SECONDS,
+    MIN_WAIT_SECONDS,
+    STANDBY_POLL_SECONDS,
+    StoreFollower,
+    find_feed_wait,
 )
-from lagoonpost.forwarding.shared import GATHER_SECONDS, TURN_SECONDS
 from lagoonpost.http.message import Address
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.platform.store import FEED_SLACK_SECONDS, PlatformStore
@@ -47,8 +50,8 @@
 
     rows: RowStore
     client: PlayedClient
-    belief: Belief
-    follower: BeliefFollower
+    belief: ClusterState
+    follower: StoreFollower
     pauses: list[float | None]
     store: PlatformStore
 
@@ -71,16 +74,18 @@
     entry = make_entry("desk", Address("10.0.0.2", 80), "domain-a")
     await rows.put("servers", RUNNER, entry)
     client = PlayedClient(rows)
-    belief = Belief(asyncio.get_running_loop().time)
-    pauses: list[float | None] = [GATHER_SECONDS]
+    belief = ClusterState(asyncio.get_running_loop().time)
+    pauses: list[float | None] = [MESH_READ_PAUSE_SECONDS]
     store = PlatformStore(client, STORE)
-    follower = BeliefFollower(
+    follower = StoreFollower(
         store,
         belief,
         lambda key: None,
         lambda: None,
         lambda: pauses[-1],
-        lambda: find_wait(BOUNDS.contact_seconds, GATHER_SECONDS),
+        lambda: find_feed_wait(
+            BOUNDS.contact_seconds, MESH_READ_PAUSE_SECONDS
+        ),
         lambda row: None,
     )
     group.create_task(follower.run())
@@ -88,7 +93,7 @@
     return Host(rows, client, belief, follower, pauses, store)
 
 
-async def keep_up(belief: Belief) -> None:
+async def keep_up(belief: ClusterState) -> None:
     while True:
         await asyncio.sleep(MAINTENANCE_INTERVAL_SECONDS)
         belief.drop_lapsed()
@@ -175,7 +180,7 @@
     def test_who_need_not_read_asks_seldom(self):
         """All that had lost the store asked it four times a second."""
         assert self.count_calls(None) <= 12
-        assert self.count_calls(GATHER_SECONDS) > 60
+        assert self.count_calls(MESH_READ_PAUSE_SECONDS) > 60
 
     def test_who_need_not_read_notices_the_return(self):
         """It would be passed over as a reader for ever."""
@@ -197,10 +202,10 @@
             host.pauses.append(None)
             await asyncio.sleep(5.3)
             host.client.end_silence()
-            host.pauses.append(GATHER_SECONDS)
+            host.pauses.append(MESH_READ_PAUSE_SECONDS)
             return await count_seconds(lambda: not host.follower.lost)
 
-        assert play_host(story) < 2 * REST_SECONDS
+        assert play_host(story) < 2 * STANDBY_POLL_SECONDS
 
 
 async def lose_store(host: Host) -> None:
@@ -233,15 +238,17 @@
 
 
 class TestWait:
-    @pytest.mark.parametrize("pause", [GATHER_SECONDS, TURN_SECONDS])
+    @pytest.mark.parametrize(
+        "pause", [MESH_READ_PAUSE_SECONDS, READER_PAUSE_SECONDS]
+    )
     @given(contact=st.floats(3.0, 60.0))
     def test_a_lost_answer_is_given_up_within_the_time_waived(
         self, pause, contact
     ):
-        given_up = pause + find_wait(contact, pause) + FEED_SLACK_SECONDS
+        given_up = pause + find_feed_wait(contact, pause) + FEED_SLACK_SECONDS
         assert given_up < contact
 
     @given(contact=st.floats(0.0, 60.0))
     def test_calls_are_neither_too_many_nor_too_long(self, contact):
-        wait = find_wait(contact, TURN_SECONDS)
-        assert LEAST_WAIT_SECONDS <= wait <= LONGEST_WAIT_SECONDS
+        wait = find_feed_wait(contact, READER_PAUSE_SECONDS)
+        assert MIN_WAIT_SECONDS <= wait <= MAX_WAIT_SECONDS
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -14,8 +14,8 @@
 from played_loop import play_time
 
 from lagoonpost.controller.loop import Controller
-from lagoonpost.forwarding.duties import Duties
-from lagoonpost.forwarding.written import Written
+from lagoonpost.forwarding.duties import LeaderDuties
+from lagoonpost.forwarding.usage_gossip import UsageGossip
 from lagoonpost.store.lease import DEFAULT_POLICY, LeaseKeeper
 from lagoonpost.store.ledger import sweep
 from lagoonpost.store.store import Condition, Write
@@ -247,19 +247,21 @@
 
         async def story() -> list[dict[str, int] | None]:
             one, two = make_duties(store, 3), make_duties(store, 5)
-            found = [await each._fix_counts(7) for each in (one, two)]
+            found = [await each._persist_counts(7) for each in (one, two)]
             store.deliver()
-            return [*found, await one._fix_counts(7)]
+            return [*found, await one._persist_counts(7)]
 
         assert asyncio.run(story()) == [None, {"pottery": 5}, {"pottery": 5}]
 
 
-def make_duties(store: MemoryStore, begun: int) -> Duties:
+def make_duties(store: MemoryStore, begun: int) -> LeaderDuties:
     """Return the duties of a gateway that has heard of some requests."""
     report = GatewayReport(
         "g", "r", {}, {}, {}, {7: {"pottery": begun}}, {}, {}, {}, 1, {}
     )
-    written = Written("g", lambda fact: None, lambda s: s, lambda *told: None)
+    written = UsageGossip(
+        "g", lambda fact: None, lambda s: s, lambda *told: None
+    )
     shared = SimpleNamespace(
         reports=SimpleNamespace(run_id="r", all_reports=lambda: [report]),
         written=written,
@@ -270,4 +272,4 @@
         first_start=False,
     )
     parts: list[Any] = [settings, store, None, None, shared, None, 1]
-    return Duties(*parts)
+    return LeaderDuties(*parts)
--- a/test/test_holder.py
+++ b/test/test_holder.py
@@ -13,7 +13,7 @@
 from lagoonpost.forwarding.duties import (
     LATE_CALL_SECONDS,
     LEASE_NAME,
-    Duties,
+    LeaderDuties,
 )
 from lagoonpost.platform.cloud import CloudOutcome, Duty
 from lagoonpost.platform.settings import Bounds
@@ -72,7 +72,7 @@
             ),
         )
         parts: tuple[Any, ...] = (settings, store, self.desk, None, shared)
-        self.duties = Duties(*parts, lambda: 5.0 * (WINDOW + 1), base=1)
+        self.duties = LeaderDuties(*parts, lambda: 5.0 * (WINDOW + 1), base=1)
 
     def _find_roles(self) -> Roles:
         self.looks += 1
@@ -119,7 +119,7 @@
 
 @pytest.fixture(autouse=True)
 def look_often(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(duties, "LOOK_SECONDS", 0.25)
+    monkeypatch.setattr(duties, "POLL_SECONDS", 0.25)
 
 
 class TestHolder:
@@ -156,7 +156,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against usage and orders by one gateway's requests alone."""
-        monkeypatch.setattr(duties, "HEAR_SECONDS", 3600.0)
+        monkeypatch.setattr(duties, "REPORT_WAIT_SECONDS", 3600.0)
 
         async def story(gateway: Gateway) -> None:
             await gateway.look_on()
--- a/test/test_hub.py
+++ b/test/test_hub.py
@@ -2,8 +2,11 @@
 
 import pytest
 
-from lagoonpost.forwarding.reports import HUB_REPORTS, REPORT_SECONDS
-from lagoonpost.forwarding.shared import TURN_SECONDS
+from lagoonpost.forwarding.peer_sync import READER_PAUSE_SECONDS
+from lagoonpost.forwarding.reports import (
+    HUB_REPORTS_PER_SECOND,
+    REPORT_SECONDS,
+)
 from lagoonpost.systems.hub import (
     BACKUP_READERS_PER_DOMAIN,
     DUTY_CONTENDERS,
@@ -119,9 +122,11 @@
         self, gateways, bound
     ):
         """All gateways read the store although the readers are active."""
-        crowd = max(1.0, gateways / HUB_REPORTS / REPORT_SECONDS)
+        crowd = max(1.0, gateways / HUB_REPORTS_PER_SECOND / REPORT_SECONDS)
         hub = REPORT_SECONDS * crowd
-        oldest = ReportAge(hub, hub + TURN_SECONDS + READER_LONG_POLL_SECONDS)
+        oldest = ReportAge(
+            hub, hub + READER_PAUSE_SECONDS + READER_LONG_POLL_SECONDS
+        )
         assert self.find_who_reads(oldest, bound) == self.ROLES.readers
 
     def test_a_few_others_read_when_no_reader_does(self):
--- a/test/test_measure.py
+++ b/test/test_measure.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lagoonpost.forwarding import duties
-from lagoonpost.forwarding.duties import Duties
+from lagoonpost.forwarding.duties import LeaderDuties
 from lagoonpost.tables.gateway_report import GatewayReport
 
 PACE = 1 / 30_000
@@ -32,7 +32,7 @@
             fresh=lambda with_own: self.list_reports(),
         )
         shared = SimpleNamespace(reports=reports)
-        self.duties = Duties(
+        self.duties = LeaderDuties(
             settings, None, None, None, shared, lambda: self.now, 1
         )
         self.duties._list_scaled = lambda: {"chat": None}
--- a/test/test_news.py
+++ b/test/test_news.py
@@ -10,7 +10,7 @@
     wait_until,
 )
 
-from lagoonpost.forwarding.belief import Belief
+from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.daemon import ForwardingDaemon
 from lagoonpost.http.message import Address
 from lagoonpost.systems import hub
@@ -363,5 +363,5 @@
         assert play(story) == ["desk-2"]
 
 
-def _desks(belief: Belief) -> list[str]:
+def _desks(belief: ClusterState) -> list[str]:
     return [each.id for each in belief.find_runners("desk")]
--- a/test/test_quota_faults.py
+++ b/test/test_quota_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lagoonpost.forwarding.bursts import RECORD_SHARES
+from lagoonpost.forwarding.quota_recorder import RECORD_SHARES
 from lagoonpost.systems.quota import Quotas
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.gateway_report import UsageByAge
--- a/test/test_reports.py
+++ b/test/test_reports.py
@@ -5,7 +5,10 @@
 from forwarding_stack import wait_until
 
 from bench.system import find_port, release_port
-from lagoonpost.forwarding.reports import FRESH_SECONDS, Reports
+from lagoonpost.forwarding.reports import (
+    REPORT_MAX_AGE_SECONDS,
+    ReportExchange,
+)
 from lagoonpost.http.message import Address
 from lagoonpost.peers.post import Post, decode_letter, encode_letter
 from lagoonpost.store.clock import read_clock
@@ -46,13 +49,13 @@
             read_age=self.read_age,
         )
 
-    def hear_report(self, report: GatewayReport) -> None:
+    def handle_report(self, report: GatewayReport) -> None:
         self.heard.append(report)
 
     def list_taken(self) -> UsageByAge:
         return {"pottery": [(0.5, 7.0)]}
 
-    def hear_taken(self, taken: UsageByAge, since: float) -> None:
+    def apply_taken(self, taken: UsageByAge, since: float) -> None:
         self.taken = taken
 
 
@@ -75,7 +78,7 @@
         self.parties = [Party(number) for number in range(COUNT)]
         self.posts = [Post() for _ in ports]
         self.reports = [
-            Reports(
+            ReportExchange(
                 member.name,
                 Address("127.0.0.1", ports[number]),
                 self.parties[number],
@@ -112,10 +115,10 @@
                     wanted = RunnerWork(COUNT - 1, total - number)
                     await wait_until(
                         lambda e=each, w=wanted: (
-                            e.sum_others().get("runner") == w
+                            e.sum_peer_work().get("runner") == w
                         )
                     )
-                    assert each.heard_part() == 1.0
+                    assert each.reachable_share() == 1.0
 
         asyncio.run(story())
 
@@ -128,7 +131,7 @@
         async def story() -> None:
             async with Crowd() as crowd:
                 await wait_until(
-                    lambda: all(each.sum_others() for each in crowd.reports)
+                    lambda: all(each.sum_peer_work() for each in crowd.reports)
                 )
                 hubs = choose_roles(crowd.members, ()).hubs
                 for member, party in zip(
@@ -145,14 +148,16 @@
         async def story() -> None:
             async with Crowd() as crowd:
                 await wait_until(
-                    lambda: all(each.sum_others() for each in crowd.reports)
+                    lambda: all(each.sum_peer_work() for each in crowd.reports)
                 )
                 last = crowd.reports[-1]
                 first = crowd.members.pop(1)
                 crowd.tasks[1].cancel()
                 assert first.failure_domain == crowd.members[-1].failure_domain
                 await wait_until(
-                    lambda: last.sum_others()["runner"].requests == COUNT - 2
+                    lambda: (
+                        last.sum_peer_work()["runner"].requests == COUNT - 2
+                    )
                 )
 
         asyncio.run(story())
@@ -166,8 +171,8 @@
                 assert hub.is_hub()
                 hub._started -= 60.0
                 crowd.parties[5].read_age = 0.1
-                await wait_until(lambda: hub.find_heard().store < 1.0)
-                assert hub.find_heard().hub < 1.0
+                await wait_until(lambda: hub.find_contact_ages().store < 1.0)
+                assert hub.find_contact_ages().hub < 1.0
 
         asyncio.run(story())
 
@@ -179,12 +184,12 @@
         async def story() -> None:
             async with Crowd() as crowd:
                 hub = crowd.reports[0]
-                await wait_until(lambda: hub.heard_part() == 1.0)
-                thawed = read_clock() + FRESH_SECONDS
+                await wait_until(lambda: hub.reachable_share() == 1.0)
+                thawed = read_clock() + REPORT_MAX_AGE_SECONDS
                 monkeypatch.setattr(
                     "lagoonpost.forwarding.reports.read_clock", lambda: thawed
                 )
-                assert hub.heard_part() == 1 / COUNT
+                assert hub.reachable_share() == 1 / COUNT
 
         asyncio.run(story())
 
@@ -202,7 +207,7 @@
 
     def test_late_sums_of_a_hub_before_are_passed_over(self):
         """Guards against an older state after two changes of the hub."""
-        reports = Reports(
+        reports = ReportExchange(
             "gateway",
             Address("127.0.0.1", 1),
             Party(1),
@@ -216,7 +221,7 @@
             work = {"runner": RunnerWork(requests)}
             summary = HubSummary(hub, number, "", 0, 3, work, {})
             reports._take_summary(summary, Address("127.0.0.1", 1))
-        assert reports.sum_others()["runner"].requests == 2
+        assert reports.sum_peer_work()["runner"].requests == 2
 
 
 def _make_report() -> GatewayReport:
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -18,7 +18,10 @@
 from played_loop import play_time
 from played_store import PlayedClient
 
-from lagoonpost.forwarding.shifts import Shifts, keep_shifting
+from lagoonpost.forwarding.version_shifts import (
+    VersionShifts,
+    run_version_shifts,
+)
 from lagoonpost.http.message import Address
 from lagoonpost.platform.store import FeedRow, PlatformStore
 from lagoonpost.systems.shift import (
@@ -199,7 +202,7 @@
                 stack.runners[id_].fault = "fail"
             state, _ = await self.move(stack)
             groups = [
-                lambda d=daemon: d._shifts.choose_group(
+                lambda d=daemon: d._shifts.choose_candidates(
                     "desk", d.view.find_runners("desk"), 2
                 )
                 for daemon in stack.gateways
@@ -279,17 +282,19 @@
 
     def setup_method(self) -> None:
         self.told: list[Fact] = []
-        self.shifts = Shifts(BOUNDS, Random(1), self.told.append, time.time)
+        self.shifts = VersionShifts(
+            BOUNDS, Random(1), self.told.append, time.time
+        )
 
     def take(self, era: int, version: int, to: str) -> None:
         order = {"service": "chat", "to": to, "duration_s": 10}
         value = msgspec.json.encode(order)
         stamp = make_stamp(era, version)
-        self.shifts.take_row(FeedRow("rollout/chat", stamp, value))
+        self.shifts.handle_row(FeedRow("rollout/chat", stamp, value))
 
     def take_back(self) -> None:
         order = self.shifts._shifts["chat"].order
-        self.shifts._take(order, "taken_back", "own")
+        self.shifts._apply(order, "taken_back", "own")
 
     def phase(self) -> tuple[str, str]:
         shift = self.shifts._shifts["chat"]
@@ -319,7 +324,7 @@
         """Guards against a status that reads active for good."""
         rows = RowStore()
         store = PlatformStore(PlayedClient(rows), Address("10.0.0.1", 80))
-        store.eras.on_era.append(self.shifts.note_era)
+        store.eras.on_era.append(self.shifts.handle_new_era)
 
         async def story() -> str:
             self.take(0, 50, "v2")
@@ -339,7 +344,7 @@
     """A gateway that may judge orders; it hears nothing of the others."""
 
     def __init__(self, rows: RowStore, services: tuple[str, ...]) -> None:
-        self.shifts = Shifts(
+        self.shifts = VersionShifts(
             BOUNDS,
             Random(1),
             lambda fact: None,
@@ -351,10 +356,12 @@
         for number, service in enumerate(services, 1):
             order = {"service": service, "to": "v2", "duration_s": 16}
             value = msgspec.json.encode(order)
-            self.shifts.take_row(FeedRow(f"rollout/{service}", number, value))
+            self.shifts.handle_row(
+                FeedRow(f"rollout/{service}", number, value)
+            )
 
     async def run(self) -> None:
-        await keep_shifting(
+        await run_version_shifts(
             self.shifts,
             self.store,
             lambda: self.holds,
@@ -456,12 +463,12 @@
     ) -> None:
         """Guards against a good version that is complete after its time."""
         monkeypatch.setattr(
-            "lagoonpost.forwarding.shifts.read_clock",
+            "lagoonpost.forwarding.version_shifts.read_clock",
             lambda: asyncio.get_running_loop().time(),
         )
 
         async def story(rows: RowStore, one: Holder, two: Holder) -> None:
-            one.shifts._publish = two.shifts.learn
+            one.shifts._publish = two.shifts.handle_fact
             one.judge("all")
             await asyncio.sleep(12.0)
             await one.hold(1.0)
@@ -474,7 +481,7 @@
     ) -> None:
         """Guards against a deadline counted from a gateway's start."""
         monkeypatch.setattr(
-            "lagoonpost.forwarding.shifts.read_clock",
+            "lagoonpost.forwarding.version_shifts.read_clock",
             lambda: asyncio.get_running_loop().time(),
         )
 
@@ -486,7 +493,7 @@
             await one.hold(1.0)
             started = Holder(rows, ("chat",))
             for fact in told:
-                started.shifts.learn(fact)
+                started.shifts.handle_fact(fact)
             task = asyncio.create_task(started.run())
             await started.hold(6.0)
             task.cancel()
--- a/test/test_shift_start.py
+++ b/test/test_shift_start.py
@@ -6,7 +6,7 @@
 import pytest
 from test_shift import BOUNDS, EPOCH
 
-from lagoonpost.forwarding.shifts import Shifts
+from lagoonpost.forwarding.version_shifts import VersionShifts
 from lagoonpost.platform.store import FeedRow
 from lagoonpost.store.clock import read_clock
 from lagoonpost.tables.fact import Fact, merge_facts
@@ -16,28 +16,30 @@
 class TestStart:
     """Gateways that learned an order at other times."""
 
-    def make(self, now: float) -> tuple[Shifts, list[Fact]]:
+    def make(self, now: float) -> tuple[VersionShifts, list[Fact]]:
         """Return a gateway that learns each order at ``now``."""
         told: list[Fact] = []
-        shifts = Shifts(BOUNDS, Random(1), told.append, lambda: EPOCH + now)
+        shifts = VersionShifts(
+            BOUNDS, Random(1), told.append, lambda: EPOCH + now
+        )
         return shifts, told
 
-    def take(self, now: float) -> tuple[Shifts, list[Fact]]:
+    def take(self, now: float) -> tuple[VersionShifts, list[Fact]]:
         shifts, told = self.make(now)
         value = msgspec.json.encode(
             {"service": "chat", "to": "v2", "duration_s": 16}
         )
-        shifts.take_row(FeedRow("rollout/chat", 1, value))
+        shifts.handle_row(FeedRow("rollout/chat", 1, value))
         return shifts, told
 
-    def find_age(self, shifts: Shifts) -> float:
-        return read_clock() - shifts._shifts["chat"].judge.started
+    def find_age(self, shifts: VersionShifts) -> float:
+        return read_clock() - shifts._shifts["chat"].evaluator.started
 
     def test_it_ages_on_the_way(self) -> None:
         """Guards against an age as old as the message that told it."""
         _, (fact,) = self.take(0.0)
         later, _ = self.make(9.0)
-        later.learn(fact)
+        later.handle_fact(fact)
         assert self.find_age(later) == pytest.approx(9.0, abs=0.5)
 
     @pytest.mark.parametrize("first", [True, False])
@@ -49,21 +51,21 @@
         assert merge_facts(*pair) == early
         own, _ = self.take(8.0)
         for fact in pair:
-            own.learn(fact)
+            own.handle_fact(fact)
         assert self.find_age(own) == pytest.approx(8.0, abs=0.5)
 
     def test_a_clock_that_is_behind_makes_no_start_to_come(self) -> None:
         """Guards against an order that starts in a gateway's future."""
         _, (fact,) = self.take(60.0)
         behind, _ = self.make(0.0)
-        behind.learn(fact)
+        behind.handle_fact(fact)
         assert self.find_age(behind) == pytest.approx(0.0, abs=0.5)
 
     def test_a_clock_that_is_far_behind_is_not_believed(self) -> None:
         """Guards against a version that is trusted by one wrong clock."""
         _, (fact,) = self.take(-3600.0)
         right, _ = self.make(0.0)
-        right.learn(fact)
+        right.handle_fact(fact)
         assert self.find_age(right) == pytest.approx(0.0, abs=0.5)
 
     def test_a_body_without_it_is_read(self) -> None:
@@ -71,6 +73,6 @@
         shifts, _ = self.make(0.0)
         order = ShiftOrder("chat", "v2", 16.0, 1)
         body = msgspec.msgpack.encode((order, "all"))
-        shifts.learn(Fact("shift", "chat", 5, body))
+        shifts.handle_fact(Fact("shift", "chat", 5, body))
         assert shifts._shifts["chat"].phase == "all"
         assert self.find_age(shifts) == pytest.approx(0.0, abs=0.5)
--- a/test/test_usage.py
+++ b/test/test_usage.py
@@ -1,6 +1,6 @@
 """Usage windows: what is counted and what is due."""
 
-from lagoonpost.forwarding.usage import UsageCount
+from lagoonpost.forwarding.usage_counter import UsageCounter
 from lagoonpost.systems.usage import find_due_windows, sum_begun_requests
 from lagoonpost.tables.gateway_report import GatewayReport
 
@@ -32,17 +32,17 @@
 class TestUsageCount:
     def test_windows(self):
         now = 99.0
-        usage = UsageCount(5.0, lambda: now)
-        usage.note_begun("a")
+        usage = UsageCounter(5.0, lambda: now)
+        usage.record_begun("a")
         now = 100.0
-        usage.note_begun("a")
-        usage.note_begun("b")
+        usage.record_begun("a")
+        usage.record_begun("b")
         assert usage.begun == {19: {"a": 1}, 20: {"a": 1, "b": 1}}
 
     def test_old_windows_are_forgotten(self):
         now = 0.0
-        usage = UsageCount(5.0, lambda: now)
+        usage = UsageCounter(5.0, lambda: now)
         for step in range(100):
             now = step * 5.0
-            usage.note_begun("a")
+            usage.record_begun("a")
         assert len(usage.begun) <= 8
