--- a/lagoonpost/forwarding/cluster_state.py
+++ b/lagoonpost/forwarding/cluster_state.py
@@ -1,8 +1,9 @@
-"""What this gateway holds true: the configuration and the runners.
+"""This gateway's view of the cluster: configuration and runner entries.
 
-Everything here has a stamp, and only grows: news comes from the store and
-from peers, in any order and more than once. After the store came back from an
-older copy, what runners say of themselves orders what it has of them.
+Updates arrive from the store and by gossip, in any order and more than once.
+Each carries a version stamp, and only a newer stamp replaces an older one.
+After the store was restored from an older copy, the sequence numbers that
+runners write into their own entries decide which entry is newer.
 """
 
 import asyncio
@@ -23,18 +24,18 @@
 from lagoonpost.tables.stamp import Stamp, find_era
 
 LAPSE_GRACE_SECONDS = 2.2
-"""How long a missing entry is kept after the store's return. Entries of
-runners that live are back within two seconds; a tenth more for the feed."""
+"""How long a missing entry is kept after the store recovers. Live runners
+rewrite their entries within two seconds; a tenth is added for the feed."""
 
 
 class RunnerEntry(NamedTuple):
-    """What is known of a runner's entry.
+    """The latest known entry of a runner.
 
     Attributes:
         version: Stamp of the row.
-        endpoint: The entry; None if it is deleted or can't be read.
-        raw: The row's bytes as others are told them; None if deleted.
-        last: The bytes that it had last, also if it is deleted since.
+        endpoint: The decoded entry; None if it is deleted or unreadable.
+        raw: Bytes of the row, as published to peers; None if deleted.
+        last_raw: Last bytes that were not None, kept after a deletion.
     """
 
     version: int
@@ -44,22 +45,24 @@
 
 
 class ClusterState:
-    """The newest configuration and runners that are known here.
+    """The newest configuration and runner entries known to this gateway.
 
     Args:
-        clock: Steady clock in seconds.
+        clock: Monotonic clock in seconds.
 
     Attributes:
-        was_store_away: Tells whether the store was away for all gateways
-            lately, and not for this one alone.
+        was_store_unavailable: Returns whether the store was recently
+            unavailable to the gateways in general, not to this one alone.
         routes: The configuration in force; None while none is known.
         loaded: Set once a configuration and a runner are known.
-        raw_configuration: Its bytes, for peers that ask.
-        entries: Entries of runners by id, deleted ones included.
-        on_configuration: Told each newer configuration.
-        on_down: Told the id of a runner that went or started anew.
-        on_leaving: Told the id of a runner that will go, with the seconds
-            until then; None if it does not say.
+        raw_configuration: Bytes of the configuration in force, for peers
+            that fetch it.
+        entries: Runner entries by id, including deleted ones.
+        on_configuration: Called with the routes of each newer configuration.
+        on_runner_down: Called with the id of a runner that disappeared or
+            restarted.
+        on_runner_leaving: Called with the id of a runner that is about to
+            leave and the seconds until then, or None if unknown.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -70,9 +73,9 @@
         self.raw_configuration = b""
         self.entries: dict[str, RunnerEntry] = {}
         self._services: dict[str, dict[str, Endpoint]] = {}
-        self._lapsing: dict[str, int] = {}
-        self._store_back = -math.inf
-        self._era_began = -math.inf
+        self._lapsed: dict[str, int] = {}
+        self._store_recovered = -math.inf
+        self._era_started = -math.inf
         self.on_configuration: list[Callable[[RouteTable], None]] = []
         self.on_runner_down: list[Callable[[str], None]] = []
         self.on_runner_leaving: list[Callable[[str, float | None], None]] = []
@@ -83,7 +86,15 @@
         return self.routes.configuration.version if self.routes else 0
 
     def apply_configuration(self, raw: bytes, source: str) -> bool:
-        """Take a configuration if it is newer than the one in force."""
+        """Apply a configuration if it is newer than the one in force.
+
+        Args:
+            raw: The encoded configuration.
+            source: Where it came from, for the log.
+
+        Returns:
+            Whether the configuration was applied.
+        """
         try:
             configuration = decode_configuration(raw)
         except UnreadableError as error:
@@ -103,29 +114,30 @@
             source=source,
             routes=len(configuration.routes),
         )
-        for told in self.on_configuration:
-            told(self.routes)
+        for callback in self.on_configuration:
+            callback(self.routes)
         self._note_loaded()
         return True
 
     def apply_entry(
         self, key: str, version: Stamp, raw: bytes | None, source: str
     ) -> bool:
-        """Take a runner's entry, or its deletion, if it is newer.
+        """Apply a runner's entry, or its deletion, if it is newer.
 
         Returns:
-            Whether the runner changed, and others should hear of it. A row
-            that was only written anew is not news: 45 runners that renew
-            theirs each second would fill the gateways' links.
+            Whether the runner changed and the change has to be published to
+            peers. A renewal with the same content is not published: 45
+            runners that renew their entries each second would saturate the
+            links between gateways.
         """
-        held = self.entries.get(key)
-        if held is not None and held.version >= version:
+        current = self.entries.get(key)
+        if current is not None and current.version >= version:
             return False
-        if held is not None and _is_older_copy(held, version, raw):
+        if current is not None and _is_older_copy(current, version, raw):
             return False
-        if raw is None and self._is_lapsing(key, held, version, source):
+        if raw is None and self._is_lapse(key, current, version, source):
             return False
-        self._lapsing.pop(key, None)
+        self._lapsed.pop(key, None)
         endpoint = None
         if raw is not None:
             try:
@@ -136,19 +148,21 @@
                     source=source,
                     detail=str(error),
                 )
-        last = raw or (held.last_raw if held is not None else None)
+        last = raw or (current.last_raw if current is not None else None)
         self.entries[key] = RunnerEntry(version, endpoint, raw, last)
-        before = held.endpoint if held is not None else None
+        before = current.endpoint if current is not None else None
         if endpoint != before:
-            self._arrange(key, before, endpoint)
+            self._index_runner(key, before, endpoint)
         self._note_loaded()
         if _went_down(before, endpoint):
-            for told in self.on_runner_down:
-                told(key)
+            for callback in self.on_runner_down:
+                callback(key)
         if _began_to_leave(before, endpoint):
-            for warned in self.on_runner_leaving:
-                warned(key, endpoint.leaves_in_seconds if endpoint else None)
-        changed = held is None or held.endpoint != endpoint
+            for notify_leaving in self.on_runner_leaving:
+                notify_leaving(
+                    key, endpoint.leaves_in_seconds if endpoint else None
+                )
+        changed = current is None or current.endpoint != endpoint
         if changed:
             eliot.log_message(
                 message_type="lagoonpost:belief:runner",
@@ -165,62 +179,62 @@
         if self.routes is not None and self._services:
             self.loaded.set()
 
-    def _is_lapsing(
-        self, key: str, held: RunnerEntry | None, version: int, source: str
+    def _is_lapse(
+        self, key: str, current: RunnerEntry | None, version: int, source: str
     ) -> bool:
-        """Keep an entry that was deleted while the store was away.
+        """Tell whether a deletion is only a lapse during a store outage.
 
-        Runners can't renew their entries then, so that all of them lapse at
-        once while all of them serve. It shows as deletions around the
-        store's return; those that live are written anew soon after it.
-        Where only this gateway had lost the store, runners renewed their
-        entries all the while, and a deletion means that one is gone.
+        Runners can't renew their entries during an outage, so all entries
+        expire at once although all runners still serve. The expiry shows as
+        deletions around the store's recovery, and live runners rewrite their
+        entries soon after. If only this gateway had lost the store, runners
+        kept renewing, and a deletion means that the runner has left.
         """
-        if held is None or held.endpoint is None:
+        if current is None or current.endpoint is None:
             return False
-        if self._clock() >= self._store_back + LAPSE_GRACE_SECONDS:
+        if self._clock() >= self._store_recovered + LAPSE_GRACE_SECONDS:
             return False
-        rewritten = self._clock() < self._era_began + LAPSE_GRACE_SECONDS
+        rewritten = self._clock() < self._era_started + LAPSE_GRACE_SECONDS
         if not rewritten and not self.was_store_unavailable():
             return False
-        if self._lapsing.get(key) != version:
-            self._lapsing[key] = version
+        if self._lapsed.get(key) != version:
+            self._lapsed[key] = version
             eliot.log_message(
                 message_type="lagoonpost:belief:lapsing",
                 runner=key,
                 version=version,
                 source=source,
-                since_return=round(self._clock() - self._store_back, 3),
+                since_return=round(self._clock() - self._store_recovered, 3),
             )
         return True
 
     def handle_store_recovery(self) -> None:
-        """Begin the time in which lapsed entries may be written anew."""
-        self._store_back = self._clock()
+        """Start the grace period in which runners rewrite lapsed entries."""
+        self._store_recovered = self._clock()
 
     def handle_new_era(self) -> None:
-        """Begin the time in which runners write anew what the store lost."""
-        self._store_back = self._era_began = self._clock()
+        """Start the grace period in which runners rewrite lost entries."""
+        self._store_recovered = self._era_started = self._clock()
 
     def drop_lapsed(self) -> list[str]:
-        """Delete what was not written anew in time; return the ids."""
-        if self._clock() < self._store_back + LAPSE_GRACE_SECONDS:
+        """Delete entries that were not rewritten in time; return their ids."""
+        if self._clock() < self._store_recovered + LAPSE_GRACE_SECONDS:
             return []
-        lapsed = list(self._lapsing.items())
-        self._lapsing.clear()
+        lapsed = list(self._lapsed.items())
+        self._lapsed.clear()
         return [
             key
             for key, version in lapsed
             if self.apply_entry(key, version, None, "lapsed")
         ]
 
-    def _arrange(
+    def _index_runner(
         self, key: str, before: Endpoint | None, after: Endpoint | None
     ) -> None:
-        """Keep the runners of each service together.
+        """Update the index of runners by service.
 
-        Entries of runners that are gone stay for their versions; looking
-        through all of them for each request would take longer each hour.
+        Entries of deleted runners are kept for their versions, so a scan of
+        all entries for each request would get slower each hour.
         """
         if before is not None:
             del self._services[before.service][key]
@@ -232,13 +246,15 @@
         return self.routes.configuration.workspaces if self.routes else ()
 
     def find_runners(self, service: str) -> list[Endpoint]:
-        """Return the runners of a service that may get new work."""
+        """Return the runners of a service that accept new requests."""
         return [
-            each for each in self.find_all_runners(service) if not each.leaving
+            runner
+            for runner in self.find_all_runners(service)
+            if not runner.leaving
         ]
 
     def find_all_runners(self, service: str) -> list[Endpoint]:
-        """Return all runners of a service, leaving ones included."""
+        """Return all runners of a service, including leaving ones."""
         return list(self._services.get(service, {}).values())
 
     def is_known(self, runner: str) -> bool:
@@ -248,16 +264,16 @@
 
 
 def _is_older_copy(
-    held: RunnerEntry, version: Stamp, raw: bytes | None
+    current: RunnerEntry, version: Stamp, raw: bytes | None
 ) -> bool:
-    """Tell whether a row is one that the store lost a newer one of."""
-    if raw is None or held.last_raw is None:
+    """Tell whether a row predates one that a restored store has lost."""
+    if raw is None or current.last_raw is None:
         return False
-    if find_era(version) == find_era(held.version):
+    if find_era(version) == find_era(current.version):
         return False
-    if raw == held.last_raw:
+    if raw == current.last_raw:
         return True
-    known, found = decode_order(held.last_raw), decode_order(raw)
+    known, found = decode_order(current.last_raw), decode_order(raw)
     return known is not None and found is not None and found < known
 
 
@@ -268,7 +284,7 @@
 
 
 def _began_to_leave(before: Endpoint | None, after: Endpoint | None) -> bool:
-    """Tell whether a runner goes; some are deleted without saying so."""
+    """Tell whether a runner starts to leave, announced or by deletion."""
     if before is None or before.leaving:
         return False
     return after is None or after.leaving
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -1,4 +1,9 @@
-"""Work that one gateway at a time does: usage reports and orders."""
+"""Work that only the leader does: usage reports and runner orders.
+
+One gateway at a time holds the lease for it. A new leader must not repeat a
+usage report with other counts, nor act while a call of the previous leader may
+still take effect.
+"""
 
 import asyncio
 from collections import Counter
@@ -44,31 +49,31 @@
 LEASE_NAME = "duties"
 USAGE_PREFIX = "usage/"
 LATE_CALL_SECONDS = 10.0
-"""Longest time after which a call without an answer may still take effect:
-the platform says some seconds."""
+"""Longest time for which an unanswered call may still take effect: the
+platform documents some seconds."""
 LEASE_MARGIN_SECONDS = 0.5
-"""Covers clocks that run unlike, and the way of a call to the platform."""
+"""Covers clock drift and the latency of a call to the platform."""
 REPORT_WAIT_SECONDS = 2.0
-"""Time after a start until the others' reports are heard: counts and orders of
-one that takes the duties before would be by its own requests alone."""
+"""Time after a start until reports of the other gateways have arrived. A
+leader that acted earlier would count and order by its own requests alone."""
 POLL_SECONDS = 0.5
-"""Pause between looks at what is due: a reclaim's notice is two seconds."""
+"""Pause between checks for due work: a reclaim's notice is two seconds."""
 ORDER_RETRY_SECONDS = 8.0
-"""Time after which an order that shows no effect is given again: start-up
+"""Time after which an order without effect is repeated: a runner's start-up
 and two heartbeats."""
 
 
 class LeaderDuties:
-    """Takes the lease and does what is due under it.
+    """Contends for the leader lease and does the due work under it.
 
     Args:
-        settings: Of this host.
+        settings: Settings of this host.
         store: The store.
-        cloud: The cloud's calls.
-        belief: Configuration and runners.
-        shared: What is known of the other gateways.
-        wall_clock: Seconds since the epoch.
-        base: Runners at full price that each service keeps.
+        cloud: Client of the cloud's API.
+        cluster: Configuration and runners.
+        peer_sync: State exchanged with the other gateways.
+        wall_clock: Returns seconds since the epoch.
+        base: Number of on-demand runners that each service keeps.
     """
 
     def __init__(
@@ -103,52 +108,52 @@
         )
         self._reported: dict[int, bool] = {}
         self._ordered: dict[tuple[str, CapacityPool], tuple[int, float]] = {}
-        self._ask_again: dict[tuple[str, str], float] = {}
+        self._retry_at: dict[tuple[str, str], float] = {}
         self._meters: dict[str, DemandMeter] = {}
-        self._heard: dict[str, dict[str, int]] = {}
+        self._last_sent_by_run: dict[str, dict[str, int]] = {}
         self._sent: Counter[str] = Counter()
-        self._from_start = settings.first_start
+        self._measures_from_start = settings.first_start
         self._leaving = False
-        self._hears_from = read_clock()
+        self._ready_at = read_clock()
         if not settings.first_start:
-            self._hears_from += REPORT_WAIT_SECONDS
+            self._ready_at += REPORT_WAIT_SECONDS
 
     def handle_new_era(self) -> None:
-        """Take the lease only after all who may still hold it."""
+        """Wait out every possible holder before the lease is taken again."""
         self._lease.distrust(self._store.eras.era)
 
     def is_held(self) -> bool:
-        """Tell whether this gateway does the duties."""
+        """Tell whether this gateway is the leader."""
         return self._lease.is_held()
 
     def is_contender(self) -> bool:
-        """Tell whether this gateway may do the duties next."""
-        if self._leaving or read_clock() < self._hears_from:
+        """Tell whether this gateway may become the leader."""
+        if self._leaving or read_clock() < self._ready_at:
             return False
         return self._settings.name in self._peer_sync.find_roles().contenders
 
     async def run(self) -> None:
-        """Contend for the lease and do what is due until cancelled."""
+        """Contend for the lease and do due work until cancelled."""
         self._lease.want(False)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._lease.run())
-            group.create_task(self._look())
+            group.create_task(self._contend())
             if self._settings.reports_usage:
                 group.create_task(self._report_usage())
             if self._settings.orders_runners:
                 group.create_task(self._order_runners())
 
     def leave(self) -> None:
-        """Begin nothing more, as this process is about to end."""
+        """Start no more work, as this process is about to end."""
         self._leaving = True
         self._lease.want(False)
 
     async def release(self) -> None:
-        """Give the lease away before this process ends."""
+        """Release the lease before this process ends."""
         self.leave()
         await self._lease.release()
 
-    async def _look(self) -> None:
+    async def _contend(self) -> None:
         wanted = False
         while True:
             roles = self._peer_sync.find_roles()
@@ -168,9 +173,9 @@
         return self.is_contender()
 
     async def _send(
-        self, send: Callable[[Duty], Awaitable[CloudOutcome]], **told: object
+        self, send: Callable[[Duty], Awaitable[CloudOutcome]], **fields: object
     ) -> CloudOutcome:
-        """Make a call as the holder, and log it with what is told of it."""
+        """Make a fenced call as the leader, and log it with extra fields."""
         fence = self._lease.fence
 
         def may_send() -> bool:
@@ -186,7 +191,7 @@
             fence=fence,
             sent_at=sent_at,
             outcome=outcome,
-            **told,
+            **fields,
         )
         return outcome
 
@@ -208,11 +213,12 @@
                 await self._report_window(window)
 
     async def _report_window(self, window: int) -> None:
-        """Report one window, exactly as any holder before did.
+        """Report one usage window, with the counts of any earlier report.
 
-        A holder may die between its call and the news of it. The next one
-        would count anew, and differ; so the counts are written first, and
-        whoever finds them there repeats them as they are.
+        A leader may die after its call and before it publishes that fact.
+        The next leader would count again and get a different result. So the
+        counts are written to the store first, and a leader that finds them
+        there repeats them unchanged.
         """
         counts = await self._persist_counts(window)
         if counts is None or not self.is_held():
@@ -229,7 +235,7 @@
     async def _persist_counts(self, window: int) -> dict[str, int] | None:
         counts = self._peer_sync.usage_gossip.usage.get(window)
         if counts is None:
-            # Counted once: the store may lose the row, not so the others.
+            # Peers keep the published counts even if the store loses the row.
             reports = self._peer_sync.reports.list_reports()
             counts = sum_begun_requests(reports, window)
         key = f"{USAGE_PREFIX}{window}"
@@ -258,7 +264,7 @@
                 await self._order_service(service)
 
     def _list_scaled(self) -> dict[str, Service]:
-        """Return the services whose runners may be ordered."""
+        """Return the services that have a scaling policy."""
         if self._cluster.routes is None:
             return {}
         services = self._cluster.routes.configuration.services
@@ -269,15 +275,15 @@
         }
 
     def _measure(self) -> None:
-        """Add up what all gateways say of each service's load.
+        """Add up the load of each service from all gateways' reports.
 
-        Only those that hear all can. One that becomes a hub later begins
-        anew, as it has no more than its own share of the load before.
+        Only a hub receives all reports. A gateway that becomes a hub later
+        starts with empty meters, as it knew only its own share of the load.
         """
         if not self._peer_sync.reports.is_hub():
             self._meters.clear()
-            self._heard.clear()
-            self._from_start = False
+            self._last_sent_by_run.clear()
+            self._measures_from_start = False
             return
         self._add_sent(self._peer_sync.reports.list_reports())
         fresh = self._peer_sync.reports.list_fresh_reports(with_own=True)
@@ -296,70 +302,70 @@
             meter.note(Sample(now, self._sent[service], waiting, pace))
 
     def _add_sent(self, reports: list[GatewayReport]) -> None:
-        """Add what each run has sent since it was heard before.
+        """Add the tokens that each gateway run has sent since its last report.
 
-        What one that is heard for the first time has sent is no load of
-        now, nor does one that is forgotten take any away.
+        A first report adds nothing, as its total covers the time since the
+        gateway's start. A run that is dropped subtracts nothing.
         """
-        heard = {each.run: each.prompt_tokens for each in reports}
-        for run, sent in heard.items():
+        sent_by_run = {report.run: report.prompt_tokens for report in reports}
+        for run, sent in sent_by_run.items():
             self._sent.update(sent)
-            self._sent.subtract(self._heard.get(run, sent))
-        self._heard = heard
+            self._sent.subtract(self._last_sent_by_run.get(run, sent))
+        self._last_sent_by_run = sent_by_run
 
     def _meter(self, service: str) -> DemandMeter:
         meter = self._meters.get(service)
         if meter is None:
             expected = 0.0
-            if self._from_start and self._cluster.routes is not None:
+            if self._measures_from_start and self._cluster.routes is not None:
                 workspaces = self._cluster.routes.configuration.workspaces
                 expected = estimate_initial_busy(
                     workspaces, DEFAULT_SECONDS_PER_TOKEN
                 )
-            meter = DemandMeter(self._from_start, expected)
+            meter = DemandMeter(self._measures_from_start, expected)
             self._meters[service] = meter
         return meter
 
     async def _order_service(self, service: Service) -> None:
         assert service.scaling is not None
         now = read_clock()
-        there = count_runners(self._cluster.find_all_runners(service.name))
+        running = count_runners(self._cluster.find_all_runners(service.name))
         busy = self._meter(service.name).busy()
         if busy is None:
             return
         demand = Demand(busy, self._base)
-        dry = {
+        sold_out = {
             domain: at
-            for (name, domain), at in self._ask_again.items()
+            for (name, domain), at in self._retry_at.items()
             if name == service.name
         }
-        orders = plan_orders(service.scaling, demand, there, dry, now)
+        orders = plan_orders(service.scaling, demand, running, sold_out, now)
         for order in orders:
             if not self.is_held():
                 return
-            if self._needs(service.name, order, there, orders):
-                await self._give(service.name, order)
+            if self._is_needed(service.name, order, running, orders):
+                await self._place_order(service.name, order)
 
-    def _needs(
+    def _is_needed(
         self,
         service: str,
         order: RunnerOrder,
-        there: dict[CapacityPool, int],
+        running: dict[CapacityPool, int],
         orders: list[RunnerOrder],
     ) -> bool:
-        count = there.get(order.capacity_pool, 0)
-        before = self._ordered.get((service, order.capacity_pool))
-        if before is not None and before[0] == order.runners:
-            overdue = read_clock() - before[1] > ORDER_RETRY_SECONDS
+        count = running.get(order.capacity_pool, 0)
+        previous = self._ordered.get((service, order.capacity_pool))
+        if previous is not None and previous[0] == order.runners:
+            overdue = read_clock() - previous[1] > ORDER_RETRY_SECONDS
             return overdue and count != order.runners
-        if before is None and count == order.runners:
+        if previous is None and count == order.runners:
             return False
-        present = sum(there.values())
-        planned = sum(each.runners for each in orders)
-        # Runners go only once what takes their place is there.
+        present = sum(running.values())
+        planned = sum(order.runners for order in orders)
+        # Runners are released only once their replacements are present.
         return order.runners > count or present >= planned
 
-    async def _give(self, service: str, order: RunnerOrder) -> None:
+    async def _place_order(self, service: str, order: RunnerOrder) -> None:
         tenure, count = order
         outcome = await self._send(
             lambda duty: self._cloud.order_runners(
@@ -372,9 +378,9 @@
             count=count,
             **self._meter(service).describe(),
         )
-        self._take_outcome(service, order, outcome)
+        self._record_outcome(service, order, outcome)
 
-    def _take_outcome(
+    def _record_outcome(
         self, service: str, order: RunnerOrder, outcome: CloudOutcome
     ) -> None:
         now = read_clock()
@@ -383,18 +389,18 @@
             if order.capacity_pool.spot:
                 self._end_drought(service, order.capacity_pool.domain, now)
         elif outcome == "fenced" and order.capacity_pool.spot:
-            # None are to be had, or another holds the lease by now; the
-            # next look tells which.
+            # Either there is no capacity, or another gateway holds the lease
+            # by now; the next check of the lease shows which.
             key = (service, order.capacity_pool.domain)
-            self._ask_again[key] = now + SPOT_RETRY_SECONDS
+            self._retry_at[key] = now + SPOT_RETRY_SECONDS
 
     def _end_drought(self, service: str, domain: str, now: float) -> None:
-        """Note that there are reclaimable runners again.
+        """Record that reclaimable runners are available again.
 
-        They mostly come back in all domains at once, so the others are
-        asked without waiting.
+        Capacity mostly returns in all failure domains at once, so orders in
+        the other domains are retried without delay.
         """
-        self._ask_again.pop((service, domain), None)
-        for key in self._ask_again:
+        self._retry_at.pop((service, domain), None)
+        for key in self._retry_at:
             if key[0] == service:
-                self._ask_again[key] = now
+                self._retry_at[key] = now
--- a/lagoonpost/forwarding/peer_sync.py
+++ b/lagoonpost/forwarding/peer_sync.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other: reports, runners and configurations."""
+"""State that gateways exchange: reports, runners and configurations."""
 
 import asyncio
 import random
@@ -26,61 +26,68 @@
 
 CONFIGURATION_DOCUMENT = "configuration"
 BREAK_TTL_SECONDS = 60.0
-"""How long the news of an answer that broke off is kept."""
+"""How long a fact about a broken answer is kept."""
 ENTRY_TTL_SECONDS = 3600.0
-"""How long the news of a runner's entry is kept."""
+"""How long a fact about a runner's entry is kept."""
 LOCAL_FETCH_SHARE = 0.8
-"""Part of the questions for a configuration that stay in the own domain."""
+"""Share of configuration fetches that go to the own failure domain."""
 FETCH_DELAY_SECONDS = 0.15
-"""Wait for the store's feed before a peer is asked for a configuration."""
+"""Wait for the store's feed before a configuration is fetched from a peer."""
 FETCH_TIMEOUT_SECONDS = 0.6
-"""Longest wait for a peer's configuration. A host that has just gone does not
-answer, and is held to run for seconds; two of them in a row leave time for a
-third within the two seconds in which a configuration is to be in force. One of
-100 KB takes 0.2 s on the slowest links."""
+"""Timeout of a configuration fetch. A host that has just disappeared does not
+answer, but counts as alive for some seconds. Two such peers in a row leave
+time for a third within the two seconds in which a configuration has to come
+into force. A configuration of 100 KB takes 0.2 s on the slowest links."""
 STORE_LOSS_MEMORY_SECONDS = 4.0
-"""How long a gateway's word that it had lost the store is remembered: entries
-that lapsed are judged for some two seconds after the return, and gateways
-notice it up to a report's pause apart."""
+"""How long a gateway's loss of the store is remembered after its recovery:
+lapsed entries are judged for about two seconds after it, and gateways notice
+it up to one report pause apart."""
 MESH_READ_PAUSE_SECONDS = 0.2
-"""Pause after an answer of the store, in which changes gather for the next.
-Rows of 45 runners change 37 times a second, and each change would be a priced
-call; a reclaim is told 2 s ahead."""
+"""Pause after an answer of the store, in which changes are batched. Rows of 45
+runners change 37 times a second, and each change would be a billed call. A
+reclaim is announced 2 s ahead, so the pause does not delay it too much."""
 READER_PAUSE_SECONDS = 0.6
-"""The same where a few read for all: three of them at times of their own have
-news after a sixth of a second, and two that are left after a third."""
+"""The same pause when a few readers serve all gateways: three readers with
+independent timing see a change after a sixth of a second on average, and two
+readers after a third."""
 MIN_SEED_PAUSE_SECONDS = 0.4
-"""First pause between looks for other gateways in the store."""
+"""First pause between reads of the seed addresses in the store."""
 MAX_SEED_PAUSE_SECONDS = 30.0
-"""Longest pause between them: each look doubles the one before."""
+"""Longest pause between these reads: each read doubles the pause."""
 DISCOVERY_GATEWAYS = 3
-"""Gateways of a group that look for other groups: one may be lost, one cut
-off from the store, and one is left."""
+"""Gateways of a group that search the store for other groups: with one lost
+and one cut off from the store, one is left."""
 DISCOVERY_CHECK_SECONDS = 5.0
-"""Pause after which the others see whether they have to look."""
+"""Pause between checks by the other gateways whether they have to search."""
 SEED_PREFIX = "member/"
 
 
 class PeerSync:
-    """This gateway among the others.
+    """Gossip, reports and fetches between this gateway and its peers.
 
     Args:
-        settings: Of this host.
-        belief: What to keep up to date by peers' news.
-        party: What this gateway reports, and hears of others.
-        on_break: Told each answer that broke off, at any gateway.
-        on_shift: Told how far services' moves to other versions are.
-        on_recorded: Told whose use the store has, and its age in seconds.
-        on_era: Told the store's era that a peer knows.
+        settings: Settings of this host.
+        cluster: State to update from peers' facts.
+        delegate: Makes the own reports and handles those of others.
+        on_break: Called with each broken answer, at any gateway.
+        on_shift: Called with each fact about a version shift.
+        on_recorded: Called with a workspace whose quota use the store has
+            recorded, and the age of that use in seconds.
+        on_era: Called with the store's era that a peer knows.
         rng: Source of random choices.
-        traffic: Counts what is sent and received.
+        traffic: Counts sent and received messages and bytes.
+
+    Attributes:
+        peers: Membership, gossip and document fetches.
+        usage_gossip: Facts about usage rows in the store.
+        reports: Load reports and summaries.
     """
 
     def __init__(
         self,
         settings: HostSettings,
         cluster: ClusterState,
-        party: ReportDelegate,
+        delegate: ReportDelegate,
         on_break: Callable[[BrokenAnswer], None],
         on_shift: Callable[[Fact], None],
         on_recorded: Callable[[str, float], None],
@@ -97,7 +104,7 @@
         self._seed_written = False
         self._rng = rng
         self._started = time.time() - time.monotonic()
-        self._lost: dict[str, _Lost] = {}
+        self._store_losses: dict[str, _StoreLoss] = {}
         self._roles: Roles | None = None
         self._wanted_version = 0
         self._wanted = asyncio.Event()
@@ -113,20 +120,20 @@
         post = Post(traffic)
         self.peers = Peers(
             peer_settings,
-            self._learn_facts,
+            self._handle_facts,
             lambda members: self._forget_roles(),
-            self._give_documents,
+            self._list_documents,
             rng=rng,
             traffic=traffic,
             post=post,
         )
         self.usage_gossip = UsageGossip(
-            settings.name, self.peers.publish, self._end, on_recorded
+            settings.name, self.peers.publish, self._find_end, on_recorded
         )
         self.reports = ReportExchange(
             settings.name,
             settings.peer,
-            party,
+            delegate,
             self.peers.members,
             self.peers.all_members,
             self.find_roles,
@@ -135,7 +142,7 @@
         )
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Keep to other bounds from now on."""
+        """Apply new bounds."""
         self._bounds = bounds
 
     async def start(self) -> None:
@@ -144,7 +151,7 @@
         await self.reports.start()
 
     async def close(self) -> None:
-        """Leave the others and stop listening."""
+        """Close the peer connections and stop listening."""
         await self.peers.close()
         self.reports.close()
 
@@ -155,20 +162,21 @@
             group.create_task(self._fetch_configurations())
 
     async def discover_gateways(self, store: Store) -> None:
-        """Write the own peer address into the store and read the others'.
-
-        Settings name three seeds at most, which may all be gone or not
-        listen yet; those that start later are found here. Gateways that
-        start together may join in groups that know nothing of each other,
-        each of which lets whole quotas through, so they look again. A few
-        of each group do; who is alone is a group.
+        """Write the own peer address to the store and read those of others.
+
+        Settings name three seeds at most, which may all be unavailable or
+        not listen yet; gateways that start later are found in the store.
+        Gateways that start together may form groups that do not know each
+        other, and each group would admit whole quotas, so the search is
+        repeated. A few gateways of each group search; a lone gateway is a
+        group of its own.
         """
         pause = MIN_SEED_PAUSE_SECONDS
-        # Seeds that answer at once make most looks needless where all hosts
-        # start together.
+        # If all hosts start together, the configured seeds mostly answer
+        # within this delay and make the search needless.
         await asyncio.sleep(self._rng.uniform(0.0, MIN_SEED_PAUSE_SECONDS / 2))
         while True:
-            if not self._is_looker():
+            if not self._searches_peers():
                 await asyncio.sleep(DISCOVERY_CHECK_SECONDS)
                 continue
             if not self._seed_written:
@@ -187,20 +195,20 @@
         outcome = await store.transact([], writes)
         return not isinstance(outcome, Unavailable)
 
-    def _is_looker(self) -> bool:
-        """Tell whether this gateway looks for others that it doesn't know."""
+    def _searches_peers(self) -> bool:
+        """Tell whether this gateway searches the store for unknown peers."""
         return (
             self._settings.name in self.find_roles().hubs[:DISCOVERY_GATEWAYS]
         )
 
     def handle_new_era(self) -> None:
-        """Write the own address again, as the store lost some rows."""
+        """Write the own address again, as the store has lost some rows."""
         self._seed_written = False
 
     # Publishing
 
     def publish_entry(self, key: str) -> None:
-        """Tell others of a runner's entry."""
+        """Publish a runner's entry to peers."""
         entry = self._cluster.entries[key]
         body = msgspec.msgpack.encode(entry.raw)
         self.peers.publish(
@@ -209,71 +217,73 @@
                 key,
                 entry.version,
                 body,
-                self._end(ENTRY_TTL_SECONDS),
+                self._find_end(ENTRY_TTL_SECONDS),
             )
         )
 
     def publish_configuration(self) -> None:
-        """Tell others which configuration is in force here."""
+        """Publish the version of the configuration in force."""
         self.peers.publish(Fact("configuration", "", self._cluster.version))
 
     def publish_break(self, seen: BrokenAnswer) -> None:
-        """Tell others of an answer that broke off."""
+        """Publish that an answer broke off."""
         key = f"{seen.fingerprint}/{seen.runner}/{seen.attempt}"
         body = msgspec.msgpack.encode(seen)
-        end = self._end(BREAK_TTL_SECONDS)
+        end = self._find_end(BREAK_TTL_SECONDS)
         self.peers.publish(Fact("crash_seen", key, 1, body, end))
 
     def publish_store_lost(self, lost: bool) -> None:
-        """Tell others whether the store answers here.
+        """Publish whether this gateway has lost the store.
 
-        Nothing is sent while they hold it for true already.
+        Nothing is published if the last published state is the same.
         """
         name = self._settings.name
-        held = self._lost.get(name, _Lost(0, False, 0.0))
-        if held.lost == lost:
+        published = self._store_losses.get(name, _StoreLoss(0, False, 0.0))
+        if published.lost == lost:
             return
-        # Above what a run before may have told, also if the clock went back.
-        rank = max(held.rank + 1, int(self._end(0.0) * 1000))
-        end = self._end(ENTRY_TTL_SECONDS)
-        self.peers.publish(Fact("store_lost", name, rank, _WORDS[lost], end))
+        # Ranks above facts of an earlier run, even if the clock went back.
+        rank = max(published.rank + 1, int(self._find_end(0.0) * 1000))
+        end = self._find_end(ENTRY_TTL_SECONDS)
+        self.peers.publish(
+            Fact("store_lost", name, rank, _STORE_STATES[lost], end)
+        )
 
-    def _end(self, seconds: float) -> float:
-        # Counted from the start and not by the time of day, which may jump.
+    def _find_end(self, seconds: float) -> float:
+        # Uses the monotonic clock, as the wall clock may jump.
         return self._started + time.monotonic() + seconds
 
-    # Learning
+    # Receiving
 
-    def _learn_facts(self, facts: Sequence[Fact]) -> None:
+    def _handle_facts(self, facts: Sequence[Fact]) -> None:
         for fact in facts:
-            learn = _LEARNERS.get(fact.kind)
-            if learn is not None:
-                learn(self, fact)
+            handler = _FACT_HANDLERS.get(fact.kind)
+            if handler is not None:
+                handler(self, fact)
 
-    def _learn_entry(self, fact: Fact) -> None:
+    def _handle_entry(self, fact: Fact) -> None:
         self._on_era(find_era(fact.rank))
         raw = msgspec.msgpack.decode(fact.body, type=bytes | None)
         self._cluster.apply_entry(fact.key, fact.rank, raw, "peer")
 
-    def _learn_break(self, fact: Fact) -> None:
+    def _handle_break(self, fact: Fact) -> None:
         self._on_break(msgspec.msgpack.decode(fact.body, type=BrokenAnswer))
 
-    def _learn_shift(self, fact: Fact) -> None:
+    def _handle_shift(self, fact: Fact) -> None:
         self._on_shift(fact)
 
-    def _learn_recorded(self, fact: Fact) -> None:
+    def _handle_recorded(self, fact: Fact) -> None:
         self.usage_gossip.handle_recorded(fact)
 
-    def _learn_usage(self, fact: Fact) -> None:
+    def _handle_usage(self, fact: Fact) -> None:
         self.usage_gossip.handle_usage(fact)
 
-    def _learn_store_lost(self, fact: Fact) -> None:
+    def _handle_store_lost(self, fact: Fact) -> None:
         now = asyncio.get_running_loop().time()
-        lost = fact.body == _WORDS[True]
-        self._lost[fact.key] = _Lost(fact.rank, lost, now)
+        lost = fact.body == _STORE_STATES[True]
+        self._store_losses[fact.key] = _StoreLoss(fact.rank, lost, now)
         self._forget_roles()
 
-    def _learn_version(self, fact: Fact) -> None:
+    def _handle_version(self, fact: Fact) -> None:
         if fact.rank > self._cluster.version:
             self._wanted_version = max(self._wanted_version, fact.rank)
             self._wanted.set()
@@ -285,7 +295,7 @@
             if self._cluster.version >= self._wanted_version:
                 self._wanted.clear()
                 continue
-            peer = self._choose_source()
+            peer = self._choose_fetch_peer()
             if peer is None:
                 continue
             documents = await self.peers.fetch(
@@ -298,20 +308,21 @@
                 if self._cluster.apply_configuration(document.body, peer.name):
                     self.publish_configuration()
 
-    def _choose_source(self) -> Member | None:
-        """Return whom to ask for a configuration: mostly a neighbour.
+    def _choose_fetch_peer(self) -> Member | None:
+        """Return the peer to fetch a configuration from, mostly a near one.
 
-        Bytes between failure domains cost, and each domain has gateways
-        that read it themselves. If all of them are cut off, others do.
+        Traffic between failure domains is billed, and each domain has
+        gateways that read the store themselves. Other domains are tried as
+        well, in case all of these are cut off.
         """
         others = self.find_others()
         here = self._settings.failure_domain
-        near = [each for each in others if each.failure_domain == here]
+        near = [peer for peer in others if peer.failure_domain == here]
         if near and self._rng.random() < LOCAL_FETCH_SHARE:
             return self._rng.choice(near)
         return self._rng.choice(others) if others else None
 
-    def _give_documents(self, kind: str, after: int) -> Sequence[Document]:
+    def _list_documents(self, kind: str, after: int) -> Sequence[Document]:
         version = self._cluster.version
         if kind != CONFIGURATION_DOCUMENT or version <= after:
             return ()
@@ -320,9 +331,13 @@
     # Views
 
     def find_roles(self) -> Roles:
-        """Return who hears all reports and who reads the store."""
+        """Return which gateways are hubs and which read the store."""
         if self._roles is None:
-            lost = {name for name, each in self._lost.items() if each.lost}
+            lost = {
+                name
+                for name, state in self._store_losses.items()
+                if state.lost
+            }
             self._roles = choose_roles(self.peers.members(), lost)
         return self._roles
 
@@ -330,11 +345,11 @@
         self._roles = None
 
     def is_reader(self) -> bool:
-        """Tell whether this gateway reads the store for others."""
+        """Tell whether this gateway is one of the store's readers."""
         return self._settings.name in self.find_roles().readers
 
     def find_read_pause(self) -> float | None:
-        """Return the pause between reads of the store; None to read none."""
+        """Return the seconds between store reads; None for no reads."""
         roles = self.find_roles()
         heard = self.reports.find_contact_ages()
         bound = self._bounds.news_seconds
@@ -343,60 +358,66 @@
         return MESH_READ_PAUSE_SECONDS if roles.mesh else READER_PAUSE_SECONDS
 
     def was_store_unavailable(self) -> bool:
-        """Tell whether half of the gateways had lost the store lately.
+        """Tell whether half of the other gateways had lost the store recently.
 
-        True if there is no other gateway: nobody can say that it was not.
+        True without other gateways, as none can report that it had not.
         """
-        others = [each.name for each in self.find_others()]
+        others = [peer.name for peer in self.find_others()]
         if not others:
             return True
         oldest = asyncio.get_running_loop().time() - STORE_LOSS_MEMORY_SECONDS
-        never = _Lost(0, False, 0.0)
-        told = [self._lost.get(name, never) for name in others]
-        away = [
-            each
-            for each in told
-            if each.lost or (each.rank and each.at > oldest)
+        never = _StoreLoss(0, False, 0.0)
+        states = [self._store_losses.get(name, never) for name in others]
+        affected = [
+            state
+            for state in states
+            if state.lost or (state.rank and state.at > oldest)
         ]
-        return 2 * len(away) >= len(others)
+        return 2 * len(affected) >= len(others)
 
     def entries(self) -> list[Address]:
-        """Return where callers may connect: all gateways that serve."""
+        """Return the entry addresses of all serving gateways, for callers."""
         members = self.peers.members()
-        sure = [each for each in members if each.state == "alive"]
-        told = [each.entry for each in sure or members if each.entry]
-        return [parse_address(each) for each in told]
+        alive = [member for member in members if member.state == "alive"]
+        entries = [member.entry for member in alive or members if member.entry]
+        return [parse_address(entry) for entry in entries]
 
     def find_others(self) -> tuple[Member, ...]:
-        """Return the other gateways that are held to run."""
+        """Return the other gateways that are considered alive."""
         return tuple(
-            each
-            for each in self.peers.members()
-            if each.name != self._settings.name
+            member
+            for member in self.peers.members()
+            if member.name != self._settings.name
         )
 
     def count_gateways(self) -> int:
-        """Return how many gateways there are, this one included."""
+        """Return the number of gateways, including this one."""
         return max(1, len(self.peers.members()))
 
 
-class _Lost(NamedTuple):
-    """What a gateway said last of the store, and when it was heard."""
+class _StoreLoss(NamedTuple):
+    """The last published state of a gateway's access to the store.
+
+    Attributes:
+        rank: Rank of the fact; 0 if none was received.
+        lost: Whether the gateway had lost the store.
+        at: Time of arrival, by the event loop's clock in seconds.
+    """
 
     rank: int
     lost: bool
     at: float
 
 
-_WORDS = {True: b"lost", False: b"answers"}
+_STORE_STATES = {True: b"lost", False: b"answers"}
 
 
-_LEARNERS = {
-    "endpoint": PeerSync._learn_entry,
-    "configuration": PeerSync._learn_version,
-    "crash_seen": PeerSync._learn_break,
-    "store_lost": PeerSync._learn_store_lost,
-    "shift": PeerSync._learn_shift,
-    "recorded": PeerSync._learn_recorded,
-    "usage": PeerSync._learn_usage,
+_FACT_HANDLERS = {
+    "endpoint": PeerSync._handle_entry,
+    "configuration": PeerSync._handle_version,
+    "crash_seen": PeerSync._handle_break,
+    "store_lost": PeerSync._handle_store_lost,
+    "shift": PeerSync._handle_shift,
+    "recorded": PeerSync._handle_recorded,
+    "usage": PeerSync._handle_usage,
 }
--- a/lagoonpost/forwarding/quota_recorder.py
+++ b/lagoonpost/forwarding/quota_recorder.py
@@ -1,4 +1,8 @@
-"""Records in the store of workspaces' use, for gateways that start."""
+"""Records quota use of bursting workspaces in the store.
+
+A gateway that starts reads these records, so a workspace that has used up a
+burst does not get it again because gateways restart.
+"""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -24,32 +28,34 @@
 
 BURST_PREFIX = "burst/"
 RECORD_SHARES = (0.3, 0.45, 0.6)
-"""Part of a burst from which on each of the first hubs records a workspace's
-use: one may be cut off from the store, and all at once would be three calls
-for one. What is left of the burst lasts for the call."""
+"""Share of a burst at which the first, second and third hub record the use of
+a workspace. A hub may be cut off from the store, so there are several; the
+shares differ because all at once would make three calls for one record. The
+rest of the burst covers the duration of the call."""
 FIRST_PAUSE_SECONDS = 0.1
-"""Pause before the records are read: time to find a hub."""
+"""Pause before the records are read, which leaves time to find a hub."""
 MAX_PAUSE_SECONDS = 2.0
-"""Longest pause between looks for a store that does not answer: all gateways
-may have started, and each look has its price."""
+"""Longest pause between reads while the store does not answer: all gateways
+may have started at once, and each call is billed."""
 MAJORITY_SHARE = 0.5
-"""Part of the gateways from which on one that hears it records for all. The
-records of those that hear fewer have their own use, and are added to it."""
+"""A gateway that reaches more than this share of all gateways records the use
+of all of them. A gateway that reaches fewer records its own use only, and
+readers add it to the common record."""
 
 
 class ClockedStore(Store, Protocol):
-    """A store that also tells its time."""
+    """A store that also exposes its clock."""
 
     clock: RemoteClock
 
 
 class _Record(NamedTuple):
-    """A workspace's use.
+    """The recorded quota use of a workspace.
 
     Attributes:
-        workspace: Its name.
-        at: When it was recorded, by the store's clock.
-        use: Pairs of an age in seconds at that time and units.
+        workspace: Name of the workspace.
+        at: Time of the record in seconds, by the store's clock.
+        use: Pairs of an age in seconds at that time and a number of units.
     """
 
     workspace: str
@@ -58,13 +64,13 @@
 
 
 class QuotaRecorder:
-    """Keeps the records.
+    """Writes and reads the records of quota use.
 
     Args:
-        store: Where they are.
+        store: Store that holds the records.
         name: Name of this gateway.
-        quotas: What was let through.
-        shared: What is known of the other gateways.
+        quotas: Admitted use by workspace.
+        peer_sync: State exchanged with the other gateways.
         find_workspaces: Returns all workspaces.
     """
 
@@ -81,30 +87,30 @@
         self._quotas = quotas
         self._peer_sync = peer_sync
         self._find_workspaces = find_workspaces
-        self._wanted: set[str] = set()
+        self._pending: set[str] = set()
         self._versions: dict[str, int] = {}
-        self._nudged = asyncio.Event()
+        self._wake = asyncio.Event()
 
     def check_usage(self) -> None:
-        """See whether a workspace's use has to be recorded by now."""
+        """Schedule a record for each workspace that has used enough."""
         hubs = self._peer_sync.find_roles().hubs[: len(RECORD_SHARES)]
-        part = self._peer_sync.reports.reachable_share()
-        if part > MAJORITY_SHARE and self._name not in hubs:
+        share = self._peer_sync.reports.reachable_share()
+        if share > MAJORITY_SHARE and self._name not in hubs:
             return
-        rank = hubs.index(self._name) if part > MAJORITY_SHARE else 0
-        found = self._quotas.list_bursting(
-            self._find_workspaces(), RECORD_SHARES[rank], part, read_clock()
+        rank = hubs.index(self._name) if share > MAJORITY_SHARE else 0
+        due = self._quotas.list_bursting(
+            self._find_workspaces(), RECORD_SHARES[rank], share, read_clock()
         )
-        if found:
-            self._wanted.update(found)
-            self._nudged.set()
+        if due:
+            self._pending.update(due)
+            self._wake.set()
 
     async def run(self) -> None:
-        """Read what there is, then record what has to be, until cancelled."""
+        """Read the records, then write due ones until cancelled."""
         await self._read()
         while True:
-            await self._nudged.wait()
-            self._nudged.clear()
+            await self._wake.wait()
+            self._wake.clear()
             await self._record()
 
     def _make_record(self, name: str, alone: bool, now: float) -> _Record:
@@ -113,7 +119,7 @@
         return _Record(name, self._store.clock.find_now() or 0.0, use)
 
     async def _read(self) -> None:
-        """Read the records, unless a hub that did tells what was used."""
+        """Read the records, unless a hub's summary already has the use."""
         pause = FIRST_PAUSE_SECONDS
         while self._quotas.prior_usage.needs_records(read_clock()):
             await asyncio.sleep(pause)
@@ -125,22 +131,22 @@
             now = self._store.clock.find_now()
             if not isinstance(rows, Unavailable) and now is not None:
                 self._note_versions(rows)
-                self._take(rows, now)
+                self._apply_rows(rows, now)
                 return
 
-    def _take(self, rows: Sequence[Row], now: float) -> None:
+    def _apply_rows(self, rows: Sequence[Row], now: float) -> None:
         records: UsageByAge = {}
         for row in rows:
             record = _read_record(row)
             if record is None:
                 continue
-            passed = max(0.0, now - record.at)
-            used = [(age + passed, units) for age, units in record.use]
+            elapsed = max(0.0, now - record.at)
+            used = [(age + elapsed, units) for age, units in record.use]
             records.setdefault(record.workspace, []).extend(used)
         self._quotas.prior_usage.load_records(records, read_clock())
 
     async def _record(self) -> None:
-        names, self._wanted = sorted(self._wanted), set()
+        names, self._pending = sorted(self._pending), set()
         now = read_clock()
         alone = self._peer_sync.reports.reachable_share() <= MAJORITY_SHARE
         suffix = f"/{self._name}" if alone else ""
@@ -151,11 +157,11 @@
             )
             for name in names
         ]
-        # Without a condition, a call that is carried out late would put an
-        # old record in the place of a newer one.
+        # Without a condition, a call that the store applies late would
+        # replace a newer record by an older one.
         conditions = [
-            Condition(each.key, self._versions.get(each.key, 0))
-            for each in writes
+            Condition(write.key, self._versions.get(write.key, 0))
+            for write in writes
         ]
         outcome = await self._store.transact(conditions, writes)
         took = read_clock() - now
@@ -169,9 +175,9 @@
             return
         self._note_versions(outcome.rows)
         if isinstance(outcome, Conflict):
-            # Another hub recorded them before; this use is newer.
-            self._wanted.update(names)
-            self._nudged.set()
+            # Another hub has written a record; the use here is newer.
+            self._pending.update(names)
+            self._wake.set()
             return
         for name in names:
             self._quotas.note_recorded(name, now)
--- a/lagoonpost/forwarding/reports.py
+++ b/lagoonpost/forwarding/reports.py
@@ -1,4 +1,8 @@
-"""Gateways' reports of their own work, and hubs' sums of them, by datagram."""
+"""Gateways' load reports, and the summaries that hubs make of them.
+
+Gateways send reports to the hubs by datagram. A hub sums them up and sends a
+summary to the gateways of its failure domain.
+"""
 
 import asyncio
 import math
@@ -25,75 +29,85 @@
 from lagoonpost.tables.peer import Member
 
 REPORT_SECONDS = 0.4
-"""Pause between reports. What others let through meanwhile is not known:
-at 350,000 tokens a second, six times a large workspace's usual, that is
-140,000 tokens of a quota; a longer pause would leave more."""
+"""Pause between reports. What other gateways admit within a pause is unknown
+here: at 350,000 tokens a second, six times the usual rate of a large
+workspace, that is 140,000 tokens of a quota; a longer pause would leave more.
+"""
 MIN_REPORT_SECONDS = 0.1
-"""Pause between reports while there is much to tell."""
+"""Shortest pause between reports, used while load changes quickly."""
 REPORT_MAX_AGE_SECONDS = 2.0
-"""Age from which a report no longer tells what its gateway does: four more
-should have come since."""
+"""Age from which a report counts as stale: four newer ones should have arrived
+by then."""
 SUMMARY_MAX_AGE_SECONDS = 4.0
-"""Age from which a hub's sums no longer hold. A hub that froze is suspected
-and replaced within some two and a half; until then its domain would let only
-its own hundredth of each quota through."""
+"""Age from which a hub's summary counts as stale. A frozen hub is suspected
+and replaced within about 2.5 s; with a shorter limit, each gateway of its
+domain would admit only its own hundredth of each quota until then."""
 REPORT_RETENTION_SECONDS = 60.0
-"""How long a report is kept for usage that is still to be reported."""
+"""How long a report is kept for usage windows that are not reported yet."""
 HUB_REPORTS_PER_SECOND = 250.0
-"""Reports a second that a hub takes, 0.8% of a core at 30 us each. With more
-gateways the pause between reports grows: 1.3 s at 320."""
+"""Reports that a hub handles per second, 0.8% of a core at 30 us each. With
+more gateways the pause between reports grows: 1.3 s at 320."""
 REACHABLE_SHARE_CACHE_SECONDS = 0.1
-"""How long the part of the gateways that is heard is taken to stay the same:
-a tenth of the time in which one that is lost is noticed."""
+"""How long the computed share of reachable gateways is cached: a tenth of the
+time in which the loss of a gateway is noticed."""
 MAX_SENT_REPORTS = 64
-"""Own reports that are remembered until a hub has them in its sums: six
-seconds of them at the fastest pace."""
+"""Own reports that are kept until a hub's summary includes them: six seconds
+of reports at the shortest pause."""
 
 
 class ReportDelegate(Protocol):
-    """What this gateway has to tell, and hears."""
+    """Makes this gateway's reports and handles those of others."""
 
     def make_report(self, name: str, run: str) -> GatewayReport:
         """Return the own report's contents."""
 
     def handle_report(self, report: GatewayReport) -> None:
-        """Take another gateway's new report."""
+        """Handle a new report of another gateway."""
 
     def list_taken(self) -> UsageByAge:
-        """Return what all gateways let through."""
+        """Return the quota use that all gateways admitted."""
 
     def apply_taken(self, taken: UsageByAge, since: float) -> None:
-        """Take a hub's sums, which hold own use up to a time."""
+        """Apply the quota use of all gateways from a hub's summary.
+
+        Args:
+            taken: Admitted use by workspace.
+            since: Time up to which it includes this gateway's use.
+        """
 
 
 class _Sent(NamedTuple):
+    """An own report's time in seconds and its open work by runner."""
+
     at: float
     work: dict[str, RunnerWork]
 
 
 class ReportExchange:
-    """Sends and takes reports and sums.
+    """Sends and receives reports and summaries.
 
     Args:
         name: Name of this gateway.
-        address: Where it listens for datagrams.
-        party: What it tells and hears.
-        find_members: Returns all gateways that are held to run.
-        find_all_members: Returns also those that left or are held dead.
-        find_roles: Returns who is a hub.
-        clock: Seconds since the epoch, as the members' rows use them.
-        post: Takes and brings the letters.
+        address: Address on which it listens for datagrams.
+        delegate: Makes the own reports and handles those of others.
+        find_members: Returns all gateways that are considered alive.
+        find_all_members: Returns all known gateways, including those that
+            left or are considered dead.
+        find_roles: Returns the roles, with the names of the hubs.
+        clock: Returns seconds since the epoch, as in the members' rows.
+        post: Sends and receives the datagrams.
 
     Attributes:
         run_id: Identifies this run of the process.
-        held: Newest report of each run with the time it came.
+        newest_reports: Newest report of each gateway's run, by
+            "NAME/RUN", with the time of its arrival.
     """
 
     def __init__(
         self,
         name: str,
         address: Address,
-        party: ReportDelegate,
+        delegate: ReportDelegate,
         find_members: Callable[[], tuple[Member, ...]],
         find_all_members: Callable[[], tuple[Member, ...]],
         find_roles: Callable[[], Roles],
@@ -102,25 +116,25 @@
     ) -> None:
         self._name = name
         self._address = address
-        self._party = party
+        self._delegate = delegate
         self._find_members = find_members
         self._find_all_members = find_all_members
         self._find_roles = find_roles
         self._clock = clock
         self._post = post
-        post.receive(GatewayReport, self._take_report)
-        post.receive(HubSummary, self._take_summary)
+        post.receive(GatewayReport, self._handle_report)
+        post.receive(HubSummary, self._handle_summary)
         self.run_id = secrets.token_hex(4)
         self.newest_reports: dict[str, tuple[float, GatewayReport]] = {}
         self._started = 0.0
         self._rank = 0
-        self._summaries = 0
+        self._summaries_sent = 0
         self._sent: dict[int, _Sent] = {}
         self._summary: tuple[float, HubSummary] | None = None
-        self._numbers: dict[str, int] = {}
-        self._others: dict[str, RunnerWork] = {}
-        self._heard_part = (-math.inf, 1.0)
-        self._nudged = asyncio.Event()
+        self._summary_numbers: dict[str, int] = {}
+        self._peer_work: dict[str, RunnerWork] = {}
+        self._reachable_share_cache = (-math.inf, 1.0)
+        self._wake = asyncio.Event()
 
     async def start(self) -> None:
         """Listen for reports."""
@@ -132,39 +146,39 @@
         self._post.close()
 
     async def run(self) -> None:
-        """Send reports, and sums where this is a hub, until cancelled."""
+        """Send reports, and summaries if this is a hub, until cancelled."""
         while True:
             self._send_report()
             self._send_summaries()
             gateways = len(self._find_members())
-            crowd = max(
+            slowdown = max(
                 1.0, gateways / HUB_REPORTS_PER_SECOND / REPORT_SECONDS
             )
-            soonest = self._now() + MIN_REPORT_SECONDS * crowd
-            await self._wait_nudge(REPORT_SECONDS * crowd)
+            soonest = self._now() + MIN_REPORT_SECONDS * slowdown
+            await self._wait_for_wake(REPORT_SECONDS * slowdown)
             if self._now() < soonest:
                 await asyncio.sleep(soonest - self._now())
 
-    async def _wait_nudge(self, seconds: float) -> None:
+    async def _wait_for_wake(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
-                await self._nudged.wait()
+                await self._wake.wait()
         except TimeoutError:
             pass
-        self._nudged.clear()
+        self._wake.clear()
 
     def send_soon(self) -> None:
-        """Send the next report soon, as it has much to tell."""
-        self._nudged.set()
+        """Send the next report after the shortest pause."""
+        self._wake.set()
 
     def is_hub(self) -> bool:
-        """Tell whether this gateway hears all others."""
+        """Tell whether this gateway receives the reports of all others."""
         return self._name in self._find_roles().hubs
 
     # Sending
 
     def _send_report(self) -> None:
-        report = self._party.make_report(self._name, self.run_id)
+        report = self._delegate.make_report(self._name, self.run_id)
         self._rank += 1
         report = report._replace(sequence=self._rank)
         self._drop_old()
@@ -173,63 +187,63 @@
         self._sent.pop(self._rank - MAX_SENT_REPORTS, None)
         hubs = frozenset(self._find_roles().hubs)
         targets = [
-            parse_address(each.address)
-            for each in self._find_members()
-            if each.name in hubs and each.name != self._name
+            parse_address(member.address)
+            for member in self._find_members()
+            if member.name in hubs and member.name != self._name
         ]
         self._post.send(report, targets)
 
     def _send_summaries(self) -> None:
-        """Send the sums to those who have this gateway for their hub."""
+        """Send a summary to each gateway that this hub serves."""
         roles = self._find_roles()
         if roles.mesh or self._name not in roles.hubs:
             return
         members = self._find_members()
-        domains = {each.name: each.failure_domain for each in members}
+        domains = {member.name: member.failure_domain for member in members}
         here = domains.get(self._name)
-        mine = [
-            each
-            for each in members
-            if each.failure_domain == here and each.name not in roles.hubs
+        receivers = [
+            member
+            for member in members
+            if member.failure_domain == here and member.name not in roles.hubs
         ]
-        # Where a domain has several hubs, it hears the first of them.
+        # Of several hubs in a domain, only the first sends summaries.
         first = next(n for n in roles.hubs if domains.get(n) == here)
-        if not mine or first != self._name:
+        if not receivers or first != self._name:
             return
         fresh = self.list_fresh_reports(with_own=True)
         # The newest run of each name comes last.
         ranks = {
             report.name: (report.run, report.sequence) for report in fresh
         }
-        self._summaries += 1
+        self._summaries_sent += 1
         summary = HubSummary(
             hub=self.run_id,
-            number=self._summaries,
+            number=self._summaries_sent,
             run="",
             sequence=0,
             gateways=len(ranks),
             work=add_work(fresh),
-            recent_usage=self._party.list_taken(),
+            recent_usage=self._delegate.list_taken(),
             read_age=self._find_read_age(),
         )
-        for each in mine:
-            run, rank = ranks.get(each.name, ("", 0))
+        for member in receivers:
+            run, rank = ranks.get(member.name, ("", 0))
             own = summary._replace(run=run, sequence=rank)
-            target = parse_address(each.address)
+            target = parse_address(member.address)
             self._post.send(own, [target])
 
-    # Taking
+    # Receiving
 
-    def _take_report(self, report: GatewayReport, sender: Address) -> None:
+    def _handle_report(self, report: GatewayReport, sender: Address) -> None:
         if report.run != self.run_id and self._keep_report(report):
-            self._party.handle_report(report)
+            self._delegate.handle_report(report)
 
     def _keep_report(self, report: GatewayReport) -> bool:
-        """Keep a report unless a later one of the same run came before."""
+        """Keep a report unless a newer one of the same run has arrived."""
         key = f"{report.name}/{report.run}"
         now = self._now()
-        held = self.newest_reports.get(key)
-        if held is not None and held[1].sequence >= report.sequence:
+        newest = self.newest_reports.get(key)
+        if newest is not None and newest[1].sequence >= report.sequence:
             return False
         self.newest_reports[key] = (now, report)
         return True
@@ -241,28 +255,30 @@
         ]:
             del self.newest_reports[key]
 
-    def _take_summary(self, summary: HubSummary, sender: Address) -> None:
-        """Take a hub's sums, less what this gateway has in them itself."""
-        before = self._numbers.get(summary.hub, 0)
+    def _handle_summary(self, summary: HubSummary, sender: Address) -> None:
+        """Handle a hub's summary, and subtract this gateway's own work."""
+        before = self._summary_numbers.get(summary.hub, 0)
         if self.is_hub() or before >= summary.number:
             return
-        # Nothing of this run is in sums that name another one.
+        # A summary that names another run has nothing of this run.
         mine = summary.run == self.run_id
         sent = self._sent.get(summary.sequence) if mine else None
         if mine and sent is None:
             return
-        self._numbers[summary.hub] = summary.number
+        self._summary_numbers[summary.hub] = summary.number
         self._summary = (self._now(), summary)
-        self._others = subtract_work(summary.work, sent.work if sent else {})
+        self._peer_work = subtract_work(
+            summary.work, sent.work if sent else {}
+        )
         since = sent.at if sent else 0.0
-        self._party.apply_taken(summary.recent_usage, since)
+        self._delegate.apply_taken(summary.recent_usage, since)
 
     # Views
 
     def list_fresh_reports(
         self, with_own: bool = False
     ) -> list[GatewayReport]:
-        """Return the gateways' reports that are not too old."""
+        """Return the gateways' reports that are not stale."""
         oldest = self._now() - REPORT_MAX_AGE_SECONDS
         return [
             report
@@ -271,31 +287,32 @@
         ]
 
     def list_reports(self) -> list[GatewayReport]:
-        """Return the newest report of every run within the last minute."""
+        """Return the newest report of each run within the last minute."""
         return [report for _, report in self.newest_reports.values()]
 
     def sum_peer_work(self) -> dict[str, RunnerWork]:
         """Return the other gateways' open work by runner."""
         if self.is_hub():
             return add_work(self.list_fresh_reports())
-        return self._others if self._has_fresh_summary() else {}
+        return self._peer_work if self._has_fresh_summary() else {}
 
     def has_summary(self) -> bool:
-        """Tell whether a hub tells this gateway what all let through."""
+        """Tell whether a fresh summary has the quota use of all gateways."""
         return not self.is_hub() and self._has_fresh_summary()
 
     def reachable_share(self) -> float:
-        """Return the part of all gateways that is heard, with this one.
+        """Return the share of all gateways that is reachable, above 0 to 1.
 
-        Each request asks, and it takes a look at every gateway.
+        This gateway counts as reachable. The share is cached because each
+        request needs it and its computation visits every gateway.
         """
-        at, part = self._heard_part
+        at, part = self._reachable_share_cache
         if not at <= self._now() < at + REACHABLE_SHARE_CACHE_SECONDS:
-            part = self._find_heard_part()
-            self._heard_part = self._now(), part
+            part = self._compute_reachable_share()
+            self._reachable_share_cache = self._now(), part
         return part
 
-    def _find_heard_part(self) -> float:
+    def _compute_reachable_share(self) -> float:
         now = self._clock()
         everyone = self._find_all_members()
         if self.is_hub():
@@ -311,7 +328,7 @@
         return compute_reachable_share(heard, max(0, known - heard))
 
     def _find_read_age(self) -> float | None:
-        """Return the least age of the store's answers, of all reports."""
+        """Return the least age in seconds of any gateway's store answer."""
         now = self._now()
         ages = [
             now - at + report.read_age
@@ -321,7 +338,7 @@
         return min(ages, default=None)
 
     def find_contact_ages(self) -> ReportAge:
-        """Return how old the last news of the hub and the readers is."""
+        """Return the ages of the last contact with hub and store readers."""
         now = self._now()
         if self.is_hub():
             age = self._find_read_age()
@@ -340,5 +357,5 @@
         return self._summary[0] > self._now() - SUMMARY_MAX_AGE_SECONDS
 
     def _now(self) -> float:
-        # After a suspension no news is fresh.
+        # This clock runs on in a suspension, after which no report is fresh.
         return read_clock()
--- a/lagoonpost/forwarding/store_follower.py
+++ b/lagoonpost/forwarding/store_follower.py
@@ -1,4 +1,7 @@
-"""Follows the store's tables: one read, then the feed, and again on a gap."""
+"""Follows the store's tables: a full read, then the change feed.
+
+A gap in the feed causes another full read.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -20,35 +23,36 @@
 from lagoonpost.store.store import Unavailable, pause_after_failure
 
 MAX_WAIT_SECONDS = 3.0
-"""Most time for which a feed's call is held back: longer saves few calls."""
+"""Longest long-poll of the feed: a longer one would save few calls."""
 MIN_WAIT_SECONDS = 0.2
-"""The same at least, as each call has its price."""
+"""Shortest long-poll of the feed, as each call is billed."""
 MARGIN_SECONDS = 0.5
-"""What is left of the time for missed news to come: the call that brings it,
-its way to the gateways that do not read the store, and late timers."""
+"""Time reserved after a lost long-poll for missed changes to arrive: the call
+that returns them, gossip to gateways that do not read the store, and late
+timers."""
 
 STANDBY_POLL_SECONDS = 0.25
-"""Pause between looks whether this gateway has to read for others again."""
+"""Pause between checks whether this gateway has to read the store."""
 
 LOST_STANDBY_POLLS = 8
-"""Rests after which a gateway that has lost the store looks for its return
-while others read for it, two seconds: if all that have lost it asked as often
-as a reader, an outage would cost more calls than a day."""
+"""Standby checks between probes of a lost store by a gateway that need not
+read it, two seconds in all. If every gateway probed as often as a reader, an
+outage would cost more calls than a day of normal operation."""
 
 RowCallback = Callable[[FeedRow], None]
 Answer = Page | HistoryLost | Unavailable
 
 
 def find_feed_wait(contact: float, pause: float) -> float:
-    """Return how long a feed's call may be held back.
+    """Return the seconds for which a feed call may be held open.
 
-    A call whose answer is lost, with its connection or in an outage, tells
-    nothing until it is given up. What was missed has to be there when this
-    host counts as undisturbed again.
+    A call whose answer is lost, with its connection or in an outage, returns
+    nothing until it times out. Missed changes have to arrive by the time the
+    bounds on staleness apply to this host again.
 
     Args:
-        contact: Seconds after a disturbance in which bounds are waived.
-        pause: Seconds before the call in which changes gather.
+        contact: Seconds after a disturbance in which the bounds are waived.
+        pause: Seconds before the call in which changes are batched.
     """
     wait = contact - pause - FEED_SLACK_SECONDS - MARGIN_SECONDS
     return min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, wait))
@@ -65,15 +69,19 @@
 
     Args:
         store: The store.
-        name: What the table is called in logs and metrics.
+        name: Name of the table in logs and metrics.
         table: Name of the table in the store.
-        on_row: Told each row that changed; deleted ones have no value.
-        on_all: Told the keys of all rows after a whole read.
-        on_back: Told that the store answers again.
-        find_pause: Returns the pause in which changes gather, or None if
-            others read the table for this gateway; it is read once in any
-            case.
-        find_wait: Returns the seconds for which a call may be held back.
+        on_row: Called with each changed row; a deleted row has no value.
+        on_snapshot: Called with the page of a full read, before its rows.
+        on_recovery: Called when the store answers again.
+        find_pause: Returns the seconds in which changes are batched, or None
+            if other gateways read the table for this one; the table is read
+            once in any case.
+        find_wait: Returns the seconds for which a call may be held open.
+
+    Attributes:
+        name: Name of the table in logs and metrics.
+        lost: Whether the store does not answer.
     """
 
     def __init__(
@@ -82,8 +90,8 @@
         name: str,
         table: str,
         on_row: RowCallback,
-        on_all: Callable[[Page], None],
-        on_back: Callable[[], None],
+        on_snapshot: Callable[[Page], None],
+        on_recovery: Callable[[], None],
         find_pause: Callable[[], float | None],
         find_wait: Callable[[], float],
     ) -> None:
@@ -94,12 +102,12 @@
         self.name = name
         self._table = table
         self._on_row = on_row
-        self._on_all = on_all
-        self._on_back = on_back
+        self._on_snapshot = on_snapshot
+        self._on_recovery = on_recovery
         self._version: int | None = None
         self._call: asyncio.Task[Answer] | None = None
         self._failures = 0
-        self._asked_at = 0.0
+        self._call_started = 0.0
         self._answered_at: float | None = None
         self.lost = False
 
@@ -110,26 +118,26 @@
         return asyncio.get_running_loop().time() - self._answered_at
 
     def restart(self) -> None:
-        """Give up the call under way and read the whole table."""
+        """Cancel the call in flight and read the whole table."""
         self._version = None
         self._read_once = False
-        self._give_up_call()
+        self._cancel_call()
 
     def handle_new_era(self) -> None:
-        """Read the whole table, as the store came back from an older copy.
+        """Read the whole table, as the store was restored from an older copy.
 
-        A call under way may be held back for long; that which told of the
-        return is answered already.
+        A call in flight is cancelled, as it may be held open for long; the
+        call that reported the new era has its answer already.
         """
         self._version = None
         if self._call is not asyncio.current_task():
-            self._give_up_call()
+            self._cancel_call()
 
-    def _give_up_call(self) -> None:
-        """Drop the answer of the call under way, even if it came already.
+    def _cancel_call(self) -> None:
+        """Discard the call in flight, even if its answer has arrived.
 
-        A feed's answer would count as the whole table, which is read next,
-        and all rows that it does not name as deleted.
+        The next answer is expected to be a full read. If a feed answer were
+        taken for it, all rows that it does not name would count as deleted.
         """
         call, self._call = self._call, None
         if call is not None:
@@ -138,18 +146,18 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            if self._may_rest():
-                # What changes meanwhile is not in a feed from here on.
+            if self._may_stand_by():
+                # Changes in standby are missed, so a full read has to follow.
                 self._version = None
                 await sleep_aligned(STANDBY_POLL_SECONDS)
                 continue
-            answer = await self._ask_or_restart()
+            answer = await self._call_store()
             if isinstance(answer, Unavailable):
                 self._note_failure(answer)
-                await pause_after_failure(self._count_call())
-                await self._rest_lost()
+                await pause_after_failure(self._measure_call())
+                await self._wait_while_lost()
                 continue
-            self._note_back()
+            self._note_answer()
             self._read_once = True
             if isinstance(answer, HistoryLost):
                 eliot.log_message(
@@ -159,33 +167,34 @@
                 )
                 self._version = None
                 continue
-            whole = self._version is None
+            is_snapshot = self._version is None
             self._version = max(self._version or 0, answer.version)
-            if whole:
-                self._on_all(answer)
+            if is_snapshot:
+                self._on_snapshot(answer)
             for row in answer.rows:
                 self._on_row(row)
             await asyncio.sleep(self._find_pause() or 0.0)
 
-    def _may_rest(self) -> bool:
-        """Tell whether others read the table for this gateway.
+    def _may_stand_by(self) -> bool:
+        """Tell whether other gateways read the table for this one.
 
-        Not before a first read, and not while the store is lost: whoever
-        has lost it looks for its return, if more seldom, and says so.
+        False before the first read, and while the store is lost: a gateway
+        that has lost the store keeps probing, if less often, and publishes
+        its recovery.
         """
         needed = self._find_pause() is not None
         return self._read_once and not self.lost and not needed
 
-    async def _rest_lost(self) -> None:
-        """Wait before the next look for a lost store, unless it is needed."""
+    async def _wait_while_lost(self) -> None:
+        """Wait before the next probe of a lost store, unless it must read."""
         for _ in range(LOST_STANDBY_POLLS):
             if not self._read_once or self._find_pause() is not None:
                 return
             await sleep_aligned(STANDBY_POLL_SECONDS)
 
-    async def _ask_or_restart(self) -> Answer:
-        self._asked_at = asyncio.get_running_loop().time()
-        call = self._call = asyncio.create_task(self._ask())
+    async def _call_store(self) -> Answer:
+        self._call_started = asyncio.get_running_loop().time()
+        call = self._call = asyncio.create_task(self._fetch())
         try:
             await asyncio.wait({call})
             if call.cancelled() or call is not self._call:
@@ -194,23 +203,23 @@
         finally:
             call.cancel()
 
-    async def _ask(self) -> Answer:
+    async def _fetch(self) -> Answer:
         if self._version is None:
             return await self._store.read_table(self._table)
-        # After a failure a held-back call would only hide the store's
-        # return: one that was sent in an outage is never answered.
+        # After a failure a long-poll would only delay the notice of the
+        # store's recovery: a call sent in an outage is never answered.
         wait = 0.0 if self._failures else self._find_wait()
         return await self._store.follow_table(self._table, self._version, wait)
 
-    def _count_call(self) -> float:
-        """Return the seconds since the last call began."""
-        return asyncio.get_running_loop().time() - self._asked_at
+    def _measure_call(self) -> float:
+        """Return the seconds since the start of the last call."""
+        return asyncio.get_running_loop().time() - self._call_started
 
     def _note_failure(self, answer: Unavailable) -> None:
-        """Count a call without an answer; the second in a row is a loss.
+        """Count a failed call; the second in a row is a loss of the store.
 
-        One may be due to its connection alone. Entries that are gone after
-        it have not lapsed: runners reached the store all the while.
+        A single failure may be due to the connection alone. Entries deleted
+        after it have not lapsed, as runners still reached the store.
         """
         self._failures += 1
         kind = _FAILURE_KINDS.get(self._failures)
@@ -224,7 +233,7 @@
             age=_round(self.find_age()),
         )
 
-    def _note_back(self) -> None:
+    def _note_answer(self) -> None:
         self._failures = 0
         if self.lost:
             self.lost = False
@@ -232,9 +241,9 @@
                 message_type="lagoonpost:store:regained",
                 table=self.name,
                 age=_round(self.find_age()),
-                call=_round(self._count_call()),
+                call=_round(self._measure_call()),
             )
-            self._on_back()
+            self._on_recovery()
         self._answered_at = asyncio.get_running_loop().time()
 
 
@@ -243,17 +252,22 @@
 
 
 class StoreFollower:
-    """Keeps a belief up to date by the store.
+    """Keeps the cluster state up to date from the store.
 
     Args:
         store: The store.
-        belief: What to keep.
-        publish_entry: Told each runner's id that changed.
-        publish_configuration: Told when a newer configuration is in force.
-        find_pause: Returns the pause in which changes gather, or None if
-            others read the store for this gateway.
-        find_wait: Returns the seconds for which a call may be held back.
-        on_order: Told each other row of the operators.
+        cluster: State to update.
+        publish_entry: Called with the id of each runner that changed.
+        publish_configuration: Called when a newer configuration is in force.
+        find_pause: Returns the seconds in which changes are batched, or None
+            if other gateways read the store for this one.
+        find_wait: Returns the seconds for which a call may be held open.
+        on_order: Called with each row of the operators' table other than the
+            configuration.
+
+    Attributes:
+        operator: Follower of the operators' table.
+        endpoints: Follower of the runners' entries.
     """
 
     def __init__(
@@ -274,7 +288,7 @@
             store,
             "operator",
             CONFIGURATION_TABLE,
-            self._take_operator_row,
+            self._apply_operator_row,
             lambda page: None,
             lambda: None,
             find_pause,
@@ -284,8 +298,8 @@
             store,
             "endpoints",
             ENDPOINT_TABLE,
-            self._take_endpoint_row,
-            self._take_all,
+            self._apply_endpoint_row,
+            self._apply_snapshot,
             cluster.handle_store_recovery,
             find_pause,
             find_wait,
@@ -293,27 +307,27 @@
 
     @property
     def lost(self) -> bool:
-        """Whether the store does not answer here."""
+        """Whether the store does not answer this gateway."""
         return self.operator.lost or self.endpoints.lost
 
     def find_age(self) -> float | None:
-        """Return the age of the older table's last answer, if both came."""
+        """Return the larger age of the tables' last answers, if both exist."""
         ages = self.operator.find_age(), self.endpoints.find_age()
         return None if None in ages else max(age or 0.0 for age in ages)
 
     def list_ages(self) -> list[tuple[str, float]]:
-        """Return the seconds since the last answer, by table."""
+        """Return tables that were answered, with seconds since then."""
         tables = (self.operator, self.endpoints)
-        ages = [(each.name, each.find_age()) for each in tables]
+        ages = [(table.name, table.find_age()) for table in tables]
         return [(name, age) for name, age in ages if age is not None]
 
     def handle_new_era(self) -> None:
-        """Read all tables, as the store came back from an older copy."""
+        """Read all tables, as the store was restored from an older copy."""
         self.operator.handle_new_era()
         self.endpoints.handle_new_era()
 
     def restart(self) -> None:
-        """Read all tables anew, over new connections."""
+        """Read all tables again, over new connections."""
         self.operator.restart()
         self.endpoints.restart()
 
@@ -323,20 +337,20 @@
             group.create_task(self.operator.run())
             group.create_task(self.endpoints.run())
 
-    def _take_operator_row(self, row: FeedRow) -> None:
+    def _apply_operator_row(self, row: FeedRow) -> None:
         if row.key != CONFIGURATION_KEY or row.value is None:
             self._on_order(row)
             return
         if self._cluster.apply_configuration(row.value, "store"):
             self._publish_configuration()
 
-    def _take_endpoint_row(self, row: FeedRow) -> None:
+    def _apply_endpoint_row(self, row: FeedRow) -> None:
         if self._cluster.apply_entry(row.key, row.version, row.value, "store"):
             self._publish_entry(row.key)
 
-    def _take_all(self, page: Page) -> None:
-        """Delete what a whole read no longer has."""
+    def _apply_snapshot(self, page: Page) -> None:
+        """Delete entries that are missing in a full read."""
         present = {row.key for row in page.rows}
         for key, entry in list(self._cluster.entries.items()):
             if key not in present and entry.endpoint is not None:
-                self._take_endpoint_row(FeedRow(key, page.version, None))
+                self._apply_endpoint_row(FeedRow(key, page.version, None))
--- a/lagoonpost/forwarding/usage_counter.py
+++ b/lagoonpost/forwarding/usage_counter.py
@@ -3,16 +3,19 @@
 from collections.abc import Callable
 
 KEPT_WINDOWS = 5
-"""Windows that are reported to the others: the present one and those whose
-report may still be due, which are two or three and one to be sure."""
+"""Windows that are reported to peers: the current one, the two or three whose
+usage report may still be due, and one as a margin."""
 
 
 class UsageCounter:
-    """This gateway's counts.
+    """Counts of requests begun through this gateway, by usage window.
 
     Args:
         seconds: Length of a window.
-        clock: Seconds since the epoch.
+        clock: Returns seconds since the epoch.
+
+    Attributes:
+        begun: Number of begun requests by workspace, by window.
     """
 
     def __init__(self, seconds: float, clock: Callable[[], float]) -> None:
@@ -21,11 +24,11 @@
         self.begun: dict[int, dict[str, int]] = {}
 
     def find_current_window(self) -> int:
-        """Return the number of the present window."""
+        """Return the number of the current window."""
         return int(self._clock() // self._seconds)
 
     def record_begun(self, workspace: str) -> None:
-        """Count one request in the present window."""
+        """Count one request in the current window."""
         window = self.find_current_window()
         counts = self.begun.get(window)
         if counts is None:
--- a/lagoonpost/forwarding/usage_gossip.py
+++ b/lagoonpost/forwarding/usage_gossip.py
@@ -1,4 +1,9 @@
-"""What gateways tell each other of own rows that the store may lose."""
+"""Gossips usage rows that gateways write and the store may lose.
+
+A store that is restored from an older copy lacks the newest rows. Gateways
+that remember them from gossip repeat the same usage counts instead of counting
+again and billing a different number.
+"""
 
 from collections.abc import Callable
 
@@ -7,22 +12,24 @@
 from lagoonpost.tables.fact import Fact
 
 FACT_TTL_SECONDS = 60.0
-"""How long the news of what was written into the store is kept."""
+"""How long a fact about a written row is kept."""
 KEPT_WINDOWS = 12
-"""Usage windows whose report is remembered: a minute of five-second ones."""
+"""Usage windows whose counts are kept: one minute of 5 s windows."""
 
 
 class UsageGossip:
-    """Rows that were written, by this gateway or another.
+    """Publishes and receives facts about usage rows in the store.
 
     Args:
         name: Name of this gateway.
-        publish: Tells the others a fact.
-        find_end: Returns the seconds since the epoch in some seconds.
-        on_recorded: Told whose use the store has, and its age in seconds.
+        publish: Gossips a fact to the other gateways.
+        find_end: Returns the epoch time a number of seconds from now.
+        on_recorded: Called with a workspace whose quota use the store has
+            recorded, and the age of that use in seconds.
 
     Attributes:
-        usage: What is reported of usage windows, whoever reports it.
+        usage: Reported counts by workspace, by usage window, from any
+            gateway.
     """
 
     def __init__(
@@ -39,7 +46,7 @@
         self.usage: dict[int, dict[str, int]] = {}
 
     def publish_usage(self, window: int, counts: dict[str, int]) -> None:
-        """Tell others what is reported of a window."""
+        """Publish the counts that are reported for a window."""
         if window in self.usage:
             return
         self._keep_usage(window, counts)
@@ -48,7 +55,7 @@
         self._publish(Fact("usage", str(window), 1, body, end))
 
     def handle_usage(self, fact: Fact) -> None:
-        """Take what another gateway reports of a window."""
+        """Handle the counts that another gateway reports for a window."""
         counts = msgspec.msgpack.decode(fact.body, type=dict[str, int])
         self._keep_usage(int(fact.key), counts)
 
@@ -58,11 +65,11 @@
             del self.usage[old]
 
     def publish_recorded(self, workspace: str, age: float) -> None:
-        """Tell others that the store has a workspace's use.
+        """Publish that the store has recorded a workspace's quota use.
 
         Args:
-            workspace: Its name.
-            age: Seconds since the use that it has.
+            workspace: Name of the workspace.
+            age: Age of the recorded use in seconds.
         """
         key = f"{workspace}/{self._name}"
         rank = int(self._find_end(0.0) * 1000)
@@ -71,6 +78,6 @@
         self._publish(Fact("recorded", key, rank, body, end))
 
     def handle_recorded(self, fact: Fact) -> None:
-        """Take that the store has a workspace's use."""
+        """Handle that the store has recorded a workspace's quota use."""
         age = msgspec.msgpack.decode(fact.body, type=float)
         self._on_recorded(fact.key.rpartition("/")[0], age)
--- a/lagoonpost/forwarding/version_shifts.py
+++ b/lagoonpost/forwarding/version_shifts.py
@@ -1,4 +1,9 @@
-"""Moves of services to new versions: what this gateway sends, hears, tells."""
+"""Shifts of services to new versions: routing, gossip, evaluation, status.
+
+If requests were spread evenly over all runners, a bad new version would fail a
+share of them as large as its share of the runners. So it gets a bounded number
+of trial requests until its answers were compared with the old version's.
+"""
 
 from collections.abc import Callable, Collection, Iterable, Sequence
 from random import Random
@@ -41,24 +46,35 @@
 ROLLBACK_PHASES: tuple[ShiftPhase, ...] = ("taken_back",)
 
 
-class _Told(NamedTuple):
-    """Body of a fact about an order.
+class _ShiftFact(NamedTuple):
+    """Body of a gossiped fact about a shift order.
 
     Attributes:
         order: The order.
-        phase: How far it is.
-        before: Milliseconds from the order's start to the epoch, below zero
-            so that the earliest start is the largest of bodies that are
-            alike else; zero if it is not told.
+        phase: Phase of the order.
+        start_offset: Milliseconds from the order's start to the epoch, which
+            is negative. Of bodies that are equal otherwise, the largest wins
+            a merge, which is that with the earliest start. Zero if the start
+            is unknown.
     """
 
     order: ShiftOrder
     phase: ShiftPhase
-    before: int = 0
+    start_offset: int = 0
 
 
 class _Shift:
-    """One order as this gateway knows it."""
+    """State of one order at this gateway.
+
+    Attributes:
+        order: The order.
+        phase: Phase of the order.
+        exposure: Requests sent to the old and the new version.
+        counts: Counts of answers by route.
+        evaluator: Decides on the next phase.
+        written_phase: Phase last written or read in the status for
+            operators; None if unknown.
+    """
 
     def __init__(self, order: ShiftOrder) -> None:
         self.order = order
@@ -70,20 +86,20 @@
 
     @property
     def rank(self) -> int:
-        """Grows with each order, and with each phase of one."""
+        """Rank of the fact: grows with each order and each phase of it."""
         return self.order.number * len(SHIFT_PHASES) + SHIFT_PHASES.index(
             self.phase
         )
 
 
 class VersionShifts:
-    """All orders that are known here, the newest of each service.
+    """The newest known shift order of each service.
 
     Args:
-        bounds: What a version may get before it is trusted.
+        bounds: Bounds on trial requests to a new version.
         rng: Source of random choices.
-        publish: Tells other gateways a fact.
-        clock: Returns seconds since the epoch; never set back.
+        publish: Gossips a fact to the other gateways.
+        clock: Returns seconds since the epoch; never goes back.
     """
 
     def __init__(
@@ -100,10 +116,10 @@
         self._shifts: dict[str, _Shift] = {}
         self._orders: set[ShiftOrder] = set()
 
-    # Learning
+    # Receiving
 
     def handle_row(self, row: FeedRow) -> None:
-        """Take an order from the operators' table."""
+        """Handle an order from the operators' table."""
         if row.value is None or not row.key.startswith(ORDER_PREFIX):
             return
         try:
@@ -114,43 +130,44 @@
             )
             return
         if self._apply(order, "trial", "store"):
-            self._tell(self._shifts[order.service])
+            self._publish_shift(self._shifts[order.service])
 
     def handle_fact(self, fact: Fact) -> None:
-        """Take an order or its phase from another gateway."""
-        told = msgspec.msgpack.decode(fact.body, type=_Told)
-        self._apply(told.order, told.phase, "peer")
-        held = self._shifts[told.order.service]
-        if told.before and held.order == told.order:
-            self._note_start(held, told.before)
-
-    def _note_start(self, shift: _Shift, before: int) -> None:
-        age = self._clock() + before / 1000
-        # An order past its time gains nothing by it, and by one wrong clock
-        # a version would get all requests before it was tried.
+        """Handle a fact about an order from another gateway."""
+        body = msgspec.msgpack.decode(fact.body, type=_ShiftFact)
+        self._apply(body.order, body.phase, "peer")
+        known = self._shifts[body.order.service]
+        if body.start_offset and known.order == body.order:
+            self._note_start(known, body.start_offset)
+
+    def _note_start(self, shift: _Shift, start_offset: int) -> None:
+        age = self._clock() + start_offset / 1000
+        # Starts beyond the order's duration are ignored: they would not help,
+        # and one gateway's wrong clock would give all requests to a version
+        # before it was tried.
         if 0 <= age <= shift.order.seconds:
             shift.evaluator.merge_start(read_clock() - age)
 
     def _apply(
         self, order: ShiftOrder, phase: ShiftPhase, source: str
     ) -> bool:
-        """Take what is newer; tell whether it was."""
-        held = self._shifts.get(order.service)
-        if held is not None and self._is_older_copy(held, order):
+        """Apply an order or phase if it is newer; return whether it was."""
+        known = self._shifts.get(order.service)
+        if known is not None and self._is_older_copy(known, order):
             return False
-        self._orders.add(_name_content(order))
-        if held is not None and _is_written_again(held.order, order):
-            held.order = order
-            phase = max(held.phase, phase, key=SHIFT_PHASES.index)
-        elif held is None or held.order.number < order.number:
-            held = self._shifts[order.service] = _Shift(order)
-        elif held.order.number > order.number or SHIFT_PHASES.index(
-            held.phase
+        self._orders.add(_strip_era(order))
+        if known is not None and _is_rewritten(known.order, order):
+            known.order = order
+            phase = max(known.phase, phase, key=SHIFT_PHASES.index)
+        elif known is None or known.order.number < order.number:
+            known = self._shifts[order.service] = _Shift(order)
+        elif known.order.number > order.number or SHIFT_PHASES.index(
+            known.phase
         ) >= SHIFT_PHASES.index(phase):
             return False
-        held.phase = phase
+        known.phase = phase
         if phase == "all":
-            held.evaluator.mark_all_new(read_clock())
+            known.evaluator.mark_all_new(read_clock())
         eliot.log_message(
             message_type="lagoonpost:shift:phase",
             source=source,
@@ -159,24 +176,24 @@
         )
         return True
 
-    def _is_older_copy(self, held: _Shift, order: ShiftOrder) -> bool:
-        """Tell whether the store lost a newer order and shows one before."""
+    def _is_older_copy(self, known: _Shift, order: ShiftOrder) -> bool:
+        """Tell whether a restored store shows an order that was superseded."""
         return (
-            find_era(order.number) > find_era(held.order.number)
-            and not _is_same(held.order, order)
-            and _name_content(order) in self._orders
+            find_era(order.number) > find_era(known.order.number)
+            and not _is_same(known.order, order)
+            and _strip_era(order) in self._orders
         )
 
     def handle_new_era(self) -> None:
-        """Tell operators again how orders are, as the store lost some rows."""
+        """Schedule new writes of all statuses, as the store has lost rows."""
         for shift in self._shifts.values():
             shift.written_phase = None
 
-    def _tell(self, shift: _Shift) -> None:
+    def _publish_shift(self, shift: _Shift) -> None:
         age = read_clock() - shift.evaluator.started
-        before = round((age - self._clock()) * 1000)
-        told = _Told(shift.order, shift.phase, before)
-        body = msgspec.msgpack.encode(told)
+        start_offset = round((age - self._clock()) * 1000)
+        content = _ShiftFact(shift.order, shift.phase, start_offset)
+        body = msgspec.msgpack.encode(content)
         self._publish(Fact("shift", shift.order.service, shift.rank, body))
 
     # Requests
@@ -184,18 +201,18 @@
     def choose_candidates(
         self, service: str, runners: Sequence[Endpoint], gateways: int
     ) -> Sequence[Endpoint]:
-        """Return the runners among which a request may be placed.
+        """Return the candidate runners for a request.
 
         Args:
             service: Service of the request.
-            runners: Its runners that may get new work.
-            gateways: Number of gateways that share the bound on exposure.
+            runners: Runners of the service that accept new requests.
+            gateways: Number of gateways that share the exposure bound.
         """
         shift = self._shifts.get(service)
         if shift is None or shift.phase == "complete":
             return runners
-        new = [each for each in runners if each.version == shift.order.to]
-        old = [each for each in runners if each.version != shift.order.to]
+        new = [r for r in runners if r.version == shift.order.to]
+        old = [r for r in runners if r.version != shift.order.to]
         match shift.phase:
             case "taken_back":
                 return old
@@ -211,7 +228,7 @@
         return old
 
     def note_sent(self, endpoint: Endpoint) -> None:
-        """Count a request that goes to a runner."""
+        """Count a request that is sent to a runner."""
         shift = self._shifts.get(endpoint.service)
         if shift is not None:
             shift.exposure.record_sent(endpoint.version == shift.order.to)
@@ -219,7 +236,7 @@
     def note_answer(
         self, endpoint: Endpoint, route: str, failed: bool, slow: bool
     ) -> None:
-        """Count an answer, or that it broke off."""
+        """Count an answer, whether whole or broken off."""
         shift = self._shifts.get(endpoint.service)
         if shift is None or shift.phase in FINAL_PHASES:
             return
@@ -231,14 +248,14 @@
         shift.counts[route] = add_counts(before, counts)
 
     def report(self) -> dict[str, Counts]:
-        """Return the own counts by service, of orders under way."""
+        """Return this gateway's counts by service, for unfinished orders."""
         return {
             service: shift.counts
             for service, shift in self._shifts.items()
             if shift.counts and shift.phase not in FINAL_PHASES
         }
 
-    # The duty of one gateway at a time
+    # Evaluation, by the leader
 
     async def advance(
         self,
@@ -246,57 +263,57 @@
         store: PlatformStore,
         may_go_on: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Judge all orders and tell operators how far they are.
+        """Evaluate all orders and write their status for operators.
 
         Args:
-            reports: Of all gateways.
-            store: Where operators read it.
-            may_go_on: Tells whether it is still this gateway's duty; it may
-                have passed on while the store was waited for.
+            reports: Reports of all gateways.
+            store: Store that holds the status.
+            may_go_on: Returns whether this gateway is still the leader;
+                leadership may pass on during a store call.
         """
-        held = list(reports)
+        all_reports = list(reports)
         for shift in list(self._shifts.values()):
             if shift.written_phase is None:
-                # An end that was written before comes before any judgement.
-                await self._tell_operators(shift, store, may_go_on)
+                # A final phase that was written earlier takes precedence.
+                await self._write_status(shift, store, may_go_on)
             if not may_go_on():
                 return
-            self._judge(shift, held, SHIFT_PHASES)
+            self._evaluate(shift, all_reports, SHIFT_PHASES)
             if shift.written_phase is not None:
-                await self._tell_operators(shift, store, may_go_on)
+                await self._write_status(shift, store, may_go_on)
 
     def roll_back_bad_versions(self, reports: Iterable[GatewayReport]) -> None:
-        """Take bad versions back while it is another gateway's duty.
+        """Roll back bad versions while another gateway is the leader.
 
-        That one may have died, and its lease lasts longer than a bad version
-        may go on. Operators are told by who has the duty next.
+        The leader may have died, and its lease lasts longer than a bad
+        version may stay in use. The next leader writes the status.
 
         Args:
-            reports: Of all gateways.
+            reports: Reports of all gateways.
         """
-        held = list(reports)
+        all_reports = list(reports)
         for shift in self._shifts.values():
             if shift.evaluator.may_roll_back(read_clock()):
-                self._judge(shift, held, ROLLBACK_PHASES)
+                self._evaluate(shift, all_reports, ROLLBACK_PHASES)
 
     def hand_over(self) -> None:
-        """Note that another gateway may tell operators from now on."""
+        """Forget the written phases, as another gateway may write them now."""
         for shift in self._shifts.values():
             shift.written_phase = None
 
-    def _judge(
+    def _evaluate(
         self,
         shift: _Shift,
-        held: list[GatewayReport],
+        reports: list[GatewayReport],
         allowed: Collection[ShiftPhase],
     ) -> None:
         service = shift.order.service
-        counts = _sum_counts(held, service)
+        counts = _sum_counts(reports, service)
         phase = shift.evaluator.advance(shift.phase, counts, read_clock())
         if phase == shift.phase or phase not in allowed:
             return
         self._apply(shift.order, phase, "own")
-        self._tell(shift)
+        self._publish_shift(shift)
         eliot.log_message(
             message_type="lagoonpost:shift:judged",
             service=service,
@@ -304,23 +321,23 @@
             counts={k: v._asdict() for k, v in counts.items()},
         )
 
-    async def _tell_operators(
+    async def _write_status(
         self,
         shift: _Shift,
         store: PlatformStore,
         may_go_on: Callable[[], bool],
     ) -> None:
-        """Write the state where operators read it, never over an end.
+        """Write an order's status for operators, but never over a final one.
 
-        A gateway that takes over may know nothing of how an order ended;
-        what was written before tells it. At either end runners are stopped,
-        so that the first one stands.
+        A new leader may not know how an order ended, so it reads the status
+        first. Operators stop the runners of one version at either end, so
+        the first final status stands.
         """
         key = f"{ORDER_PREFIX}{shift.order.service}"
-        order, told = shift.order, shift.written_phase
-        if told in FINAL_PHASES or (
-            told is not None
-            and make_status(order, told) == make_status(order, shift.phase)
+        order, written = shift.order, shift.written_phase
+        if written in FINAL_PHASES or (
+            written is not None
+            and make_status(order, written) == make_status(order, shift.phase)
         ):
             return
         row = await store.read_status(key)
@@ -328,10 +345,10 @@
             return
         end = decode_end(row.value, shift.order) if row.value else None
         if end is not None:
-            # Only the own order's end counts; one to the same version that
-            # was given again is not told apart, and has ended as well.
+            # Only the end of this order counts. A repeated order to the same
+            # version can't be told apart and counts as ended as well.
             if self._apply(shift.order, end, "status"):
-                self._tell(shift)
+                self._publish_shift(shift)
             shift.written_phase = end
             return
         phase = shift.phase
@@ -341,8 +358,8 @@
             shift.written_phase = phase
 
 
-def _name_content(order: ShiftOrder) -> ShiftOrder:
-    """Return an order as any copy of the store has it."""
+def _strip_era(order: ShiftOrder) -> ShiftOrder:
+    """Return an order without the era in its number."""
     return order._replace(number=find_version(order.number))
 
 
@@ -350,10 +367,10 @@
     return one._replace(number=0) == other._replace(number=0)
 
 
-def _is_written_again(held: ShiftOrder, order: ShiftOrder) -> bool:
-    """Tell whether operators wrote an order again that the store lost."""
-    return find_era(order.number) > find_era(held.number) and _is_same(
-        held, order
+def _is_rewritten(known: ShiftOrder, order: ShiftOrder) -> bool:
+    """Tell whether an order repeats one that the store has lost."""
+    return find_era(order.number) > find_era(known.number) and _is_same(
+        known, order
     )
 
 
@@ -374,15 +391,15 @@
     find_reports: Callable[[], Iterable[GatewayReport]],
     pause: float,
 ) -> None:
-    """Advance all orders until cancelled.
+    """Evaluate all orders periodically until cancelled.
 
     Args:
         shifts: The orders.
-        store: Where operators read how far they are.
-        may_advance: Tells whether it is this gateway's duty.
-        may_watch: Tells whether this gateway may have the duty next.
+        store: Store that holds the status for operators.
+        may_advance: Returns whether this gateway is the leader.
+        may_watch: Returns whether this gateway may become the leader.
         find_reports: Returns the reports of all gateways.
-        pause: Seconds between two looks.
+        pause: Seconds between two evaluations.
     """
     while True:
         await sleep_aligned(pause)
--- a/test/test_bursts.py
+++ b/test/test_bursts.py
@@ -1,4 +1,4 @@
-"""Records of bursts in the store, written and read by gateways."""
+"""Records of quota use in the store, written and read by gateways."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,7 +30,7 @@
 
 
 class Gateway:
-    """One gateway's records; ``hubs`` are the names of those that write."""
+    """One gateway's recorder; ``hubs`` names the gateways that may write."""
 
     def __init__(
         self,
@@ -38,62 +38,62 @@
         name: str = "one",
         hubs: tuple[str, ...] = ("one", "two", "three"),
         started: float | None = None,
-        has_sums: bool = False,
-        part: float = 1.0,
+        has_summary: bool = False,
+        share: float = 1.0,
     ) -> None:
         self.quotas = Quotas(BOUNDS, started)
-        self.told: list[str] = []
-        self.part = part
+        self.published: list[str] = []
+        self.share = share
         shared = SimpleNamespace(
             find_roles=lambda: SimpleNamespace(hubs=hubs),
             count_gateways=lambda: 1,
             reports=SimpleNamespace(
-                has_sums=lambda: has_sums, heard_part=lambda: part
+                has_summary=lambda: has_summary, reachable_share=lambda: share
             ),
-            written=SimpleNamespace(
-                publish_recorded=lambda name, age: self.told.append(name)
+            usage_gossip=SimpleNamespace(
+                publish_recorded=lambda name, age: self.published.append(name)
             ),
         )
-        self.bursts = QuotaRecorder(
+        self.recorder = QuotaRecorder(
             store, name, self.quotas, shared, lambda: (HOT,)
         )
 
     def use(self, units: float) -> float:
-        """Ask for units in one moment and return how many were let through."""
-        passed = 0.0
-        while passed < units:
+        """Request units at one moment and return how many were admitted."""
+        admitted = 0.0
+        while admitted < units:
             now = read_clock()
-            if self.quotas.take(HOT, UNITS, self.part, now) is not None:
+            if self.quotas.take(HOT, UNITS, self.share, now) is not None:
                 break
-            passed += UNITS
-            self.bursts.check_usage()
-        return passed
+            admitted += UNITS
+            self.recorder.check_usage()
+        return admitted
 
     async def run(self) -> None:
-        """Read, and record what has to be."""
-        task = asyncio.create_task(self.bursts.run())
+        """Read the records and write the due ones."""
+        task = asyncio.create_task(self.recorder.run())
         await asyncio.sleep(2 * FIRST_PAUSE_SECONDS)
         task.cancel()
 
 
 class TestBursts:
     def test_a_start_knows_what_was_used_before(self):
-        """Guards against a quota that is let through again after a kill."""
+        """Guards against admitting a quota again after all gateways died."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
             before = Gateway(store)
-            passed = before.use(1e9)
+            admitted = before.use(1e9)
             await before.run()
-            passed += before.use(1e9)
+            admitted += before.use(1e9)
             await before.run()
             after = Gateway(store, started=read_clock())
             await after.run()
-            passed += after.use(1e9)
+            admitted += after.use(1e9)
             quota = HOT.rate * BOUNDS.window + HOT.burst
-            assert passed <= quota * (1 + BOUNDS.overage) + BOUNDS.slack
+            assert admitted <= quota * (1 + BOUNDS.overage) + BOUNDS.slack
             recorded = after.quotas.list_taken(read_clock())["hot"]
-            assert sum(units for _, units in recorded) >= passed
+            assert sum(units for _, units in recorded) >= admitted
 
         asyncio.run(scenario())
 
@@ -102,7 +102,7 @@
             gateway = Gateway(ClockedMemoryStore())
             first = gateway.use(1e9)
             await gateway.run()
-            assert gateway.told == ["hot"]
+            assert gateway.published == ["hot"]
             assert gateway.use(1e9) >= 0.8 * first
 
         asyncio.run(scenario())
@@ -128,7 +128,7 @@
         asyncio.run(scenario())
 
     def test_what_can_not_be_recorded_stays_bounded(self):
-        """Guards against a burst that no start can know of."""
+        """Guards against a large burst that a restart would forget."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
@@ -141,7 +141,7 @@
         asyncio.run(scenario())
 
     def test_a_start_without_an_answer_lets_little_through(self):
-        """Guards against a start that takes no answer for no record."""
+        """Guards against treating an unanswered read as an absent record."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
@@ -163,11 +163,11 @@
         asyncio.run(scenario())
 
     def test_a_start_with_a_hub_asks_no_store(self):
-        """Guards against a call of each of hundreds that start together."""
+        """Guards against a store call by each of hundreds of new gateways."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
-            gateway = Gateway(store, started=read_clock(), has_sums=True)
+            gateway = Gateway(store, started=read_clock(), has_summary=True)
             await gateway.run()
             assert not store.calls
             assert gateway.use(UNITS) == UNITS
@@ -175,13 +175,13 @@
         asyncio.run(scenario())
 
     def test_a_store_that_is_away_is_asked_seldom(self):
-        """Guards against all that started asking four times a second."""
+        """Guards against four reads a second by each starting gateway."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
             store.fault = lambda call: "down"
             gateway = Gateway(store, started=read_clock())
-            task = asyncio.create_task(gateway.bursts.run())
+            task = asyncio.create_task(gateway.recorder.run())
             await asyncio.sleep(BOUNDS.window)
             task.cancel()
             assert len(store.calls) <= 8
@@ -189,31 +189,31 @@
         play_time(scenario())
 
     def test_a_gateway_that_is_cut_off_records_its_own_use(self):
-        """Guards against its record in place of that of the others."""
+        """Guards against its record replacing the one for all gateways."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
             most = Gateway(store)
-            passed = most.use(1e9)
+            admitted = most.use(1e9)
             await most.run()
-            alone = Gateway(store, name="cut", hubs=("cut",), part=1 / 9)
-            passed += alone.use(1e9)
+            alone = Gateway(store, name="cut", hubs=("cut",), share=1 / 9)
+            admitted += alone.use(1e9)
             await alone.run()
-            assert alone.told == []
+            assert alone.published == []
             assert alone.use(1e9) > 0.0
             after = Gateway(store, started=read_clock())
             await after.run()
             after.use(UNITS)
             known = after.quotas.list_taken(read_clock())["hot"]
-            assert sum(units for _, units in known) >= passed
+            assert sum(units for _, units in known) >= admitted
 
         asyncio.run(scenario())
 
     def test_a_late_record_does_not_replace_a_newer_one(self):
-        """Guards against use that a start knows nothing of.
+        """Guards against recorded use that a starting gateway can't see.
 
-        The first hub's call gets no answer and is carried out seconds
-        later; by then another hub has recorded more.
+        The first hub's call gets no answer and the store applies it seconds
+        later; by then another hub has recorded more use.
         """
 
         async def scenario() -> None:
@@ -223,9 +223,9 @@
                 next(faults, "") if call == "transact" else ""
             )
             before = Gateway(store)
-            passed = before.use(1e9)
+            admitted = before.use(1e9)
             await before.run()
-            assert before.told == []
+            assert before.published == []
             other = Gateway(store, name="two", hubs=("two", "one"))
             now = read_clock()
             recent = before.quotas.list_own_usage(now)
@@ -233,19 +233,19 @@
                 "one/1", before.quotas.used, recent, now
             )
             for _ in range(2):
-                passed += other.use(1e9)
+                admitted += other.use(1e9)
                 await other.run()
             store.deliver()
             after = Gateway(store, started=read_clock())
             await after.run()
             after.use(UNITS)
             known = after.quotas.list_taken(read_clock())["hot"]
-            assert sum(units for _, units in known) >= passed
+            assert sum(units for _, units in known) >= admitted
 
         asyncio.run(scenario())
 
     def test_a_hub_records_over_the_record_of_another(self):
-        """Guards against a new hub whose records are all refused."""
+        """Guards against a new hub whose writes all conflict."""
 
         async def scenario() -> None:
             store = ClockedMemoryStore()
@@ -255,9 +255,9 @@
             second = Gateway(store, name="two", hubs=("two", "one"))
             second.use(1e9)
             await second.run()
-            assert second.told == ["hot"]
+            assert second.published == ["hot"]
             first.use(1e9)
             await first.run()
-            assert first.told == ["hot", "hot"]
+            assert first.published == ["hot", "hot"]
 
         asyncio.run(scenario())
--- a/test/test_duties.py
+++ b/test/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties under one lease: usage reports and orders, over the stand-ins."""
+"""Work of the leader: usage reports and runner orders, over stand-ins."""
 
 import asyncio
 import time
@@ -49,10 +49,11 @@
         assert conflicts == []
 
     def test_a_second_holder_repeats_the_first_ones_report(self):
-        """The holder dies between its call and the news of it.
+        """A second leader must not report a window with other counts.
 
-        The next one has heard of other counts by then. It must repeat what
-        was reported; another count would be a second, different bill.
+        The first leader dies after its call and before it publishes the
+        fact, and the second has received other counts by then. Reporting
+        these would be a second, different bill.
         """
 
         async def story(stack: Stack):
@@ -78,7 +79,7 @@
         assert len({fence for _, fence in holders}) == len(holders)
 
     def test_a_holder_after_a_return_repeats_what_the_store_lost(self):
-        """Guards against a window that is billed twice, differently."""
+        """Guards against billing a window twice with different counts."""
 
         async def story(stack: Stack):
             await wait_until(lambda: bool(find_holders(stack)))
@@ -88,7 +89,7 @@
             window = int(time.time())
             await wait_until(lambda: window in stack.cloud.usage)
             await stack.gateways[first].abort()
-            # A count that was not heard before the report was made.
+            # A count that arrived only after the report was made.
             stack.gateways[other]._usage.begun[window]["pottery"] = 7
             await stack.store.go_back(60.0)
             await wait_until(lambda: find_holders(stack) == [other])
@@ -118,7 +119,7 @@
 
 class TestCalls:
     def test_a_call_that_may_not_be_sent_is_not(self):
-        """Guards against a call that leaves after the lease has ended."""
+        """Guards against a call that is sent after the lease has expired."""
 
         async def story(stack: Stack):
             calls = CloudCalls(stack.client, stack.cloud_address)
@@ -161,9 +162,10 @@
         assert {service for service, _, _ in orders} == {"chat"}
 
     def test_a_drought_is_answered_at_full_price(self):
-        """All reclaimable runners leave, and none are to be had.
+        """On-demand runners must replace reclaimable ones that are sold out.
 
-        Waiting for them would leave the base alone for the drought.
+        All reclaimable runners leave and no new ones are available. Waiting
+        for them would leave only the base runners for the whole drought.
         """
 
         async def story(stack: Stack):
--- a/test/test_era.py
+++ b/test/test_era.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, on played time."""
+"""A store that is restored from an older copy, on simulated time."""
 
 import asyncio
 from typing import Any
@@ -37,7 +37,7 @@
 
 
 def write_entry(seq: int, **fields: Any) -> Entry:
-    """Return what a runner writes the ``seq``-th time."""
+    """Return the entry that a runner writes the ``seq``-th time."""
     return {
         **make_entry("desk", HOME, "domain-a"),
         "born": BORN,
@@ -47,7 +47,7 @@
 
 
 class TestStore:
-    """Calls of one gateway around a return."""
+    """Calls of one gateway around a restore of the store."""
 
     def play(self, story) -> None:
         async def run() -> None:
@@ -73,7 +73,7 @@
         self.play(story)
 
     def test_changes_are_not_missed_once_the_versions_have_passed(self):
-        """Guards against a feed from a version that was given out again."""
+        """Guards against following the feed from a version used twice."""
 
         async def story(rows: RowStore, store: PlatformStore) -> None:
             await rows.put("servers", "one", {})
@@ -92,7 +92,7 @@
         self.play(story)
 
     def test_a_condition_on_a_lost_version_never_holds(self):
-        """Guards against a write over a row that another one wrote since."""
+        """Guards against overwriting another gateway's newer row."""
 
         async def story(rows: RowStore, store: PlatformStore) -> None:
             await store.transact([], [Write("lease/a", "old")])
@@ -123,7 +123,7 @@
 
     @pytest.mark.parametrize("era", ["", "x", "-1", "1.5", 0, 2, 10**12])
     def test_an_era_that_makes_no_sense_costs_nothing(self, era):
-        """Guards against losing the store for an era that falls or jumps."""
+        """Guards against rejecting the store for an invalid or jumping era."""
 
         async def story(rows: RowStore, store: PlatformStore) -> None:
             await rows.put("servers", "one", {})
@@ -133,7 +133,7 @@
                 page = await store.read_table(ENDPOINT_TABLE)
                 assert isinstance(page, Page)
                 assert len(page.rows) == 1
-                # Told to peers, in packets of whole numbers.
+                # Peers receive it as an integer.
                 msgspec.msgpack.encode(page.version)
 
         self.play(story)
@@ -150,22 +150,22 @@
 
 
 class TestEntries:
-    """What a gateway holds true of a runner, whatever the store lost."""
+    """A gateway's view of a runner after the store has lost rows."""
 
     def setup_method(self) -> None:
         self.now = 100.0
-        self.belief = ClusterState(lambda: self.now)
+        self.cluster = ClusterState(lambda: self.now)
 
     def take(self, era: int, version: int, entry: Entry | None) -> bool:
         raw = None if entry is None else msgspec.json.encode(entry)
         stamp = make_stamp(era, version)
-        return self.belief.apply_entry("one", stamp, raw, "store")
+        return self.cluster.apply_entry("one", stamp, raw, "store")
 
     def serves(self) -> bool:
-        return bool(self.belief.find_runners("desk"))
+        return bool(self.cluster.find_runners("desk"))
 
     def test_a_runner_that_leaves_is_not_used_by_an_older_copy(self):
-        """Guards against new work for a runner whose word the store lost."""
+        """Guards against requests to a runner whose leaving the store lost."""
         self.take(0, 10, write_entry(1))
         self.take(0, 20, write_entry(2, state="draining"))
         self.take(1, 10, write_entry(1))
@@ -180,7 +180,7 @@
         assert not self.serves()
 
     def test_what_is_written_again_under_a_lower_version_is_taken(self):
-        """Guards against runners that are never heard of again."""
+        """Guards against ignoring a runner's new entries for good."""
         self.take(0, 900, write_entry(5, state="draining"))
         self.take(1, 12, write_entry(1, born=BORN + 1))
         assert self.serves()
@@ -192,19 +192,19 @@
         assert self.serves()
 
     def test_a_new_runner_that_the_store_lost_serves_until_it_writes(self):
-        """Guards against runners that all gateways drop for some seconds."""
+        """Guards against all gateways dropping a live runner for seconds."""
         self.take(0, 20, write_entry(1))
-        self.belief.was_store_unavailable = lambda: False
-        self.belief.handle_new_era()
+        self.cluster.was_store_unavailable = lambda: False
+        self.cluster.handle_new_era()
         self.take(1, 15, None)
         assert self.serves()
         self.now += LAPSE_GRACE_SECONDS
-        self.belief.drop_lapsed()
+        self.cluster.drop_lapsed()
         assert not self.serves()
 
 
 class TestFollower:
-    """One gateway that follows the store through a return."""
+    """One gateway that follows the store through a restore."""
 
     def play(self, story) -> None:
         async def run() -> None:
@@ -222,12 +222,12 @@
     def test_changes_after_a_return_are_known_within_the_bound(
         self, returns: int, compacted: bool
     ):
-        """Guards against a table that is not read anew."""
+        """Guards against a table that is not read again after a restore."""
 
         async def story(host: Host) -> None:
             eras = host.store.eras
             eras.on_era += [
-                host.belief.handle_new_era,
+                host.cluster.handle_new_era,
                 host.follower.handle_new_era,
             ]
             for number in range(2, 6):
@@ -246,8 +246,8 @@
             await host.rows.put("servers", "desk-2", entry)
             seconds = await count_seconds(
                 lambda: (
-                    host.belief.version == 6
-                    and len(host.belief.find_runners("desk")) == 1
+                    host.cluster.version == 6
+                    and len(host.cluster.find_runners("desk")) == 1
                 )
             )
             assert seconds < 2.0
@@ -258,12 +258,12 @@
         async def story(host: Host) -> None:
             await host.rows.put("op", "config", make_configuration(2))
             await asyncio.sleep(1.0)
-            assert host.belief.version == 2
+            assert host.cluster.version == 2
             await host.rows.go_back(5.0)
             seen = set()
             for _ in range(30):
                 await asyncio.sleep(0.1)
-                seen.add(host.belief.version)
+                seen.add(host.cluster.version)
             assert seen == {2}
 
         self.play(story)
--- a/test/test_follow.py
+++ b/test/test_follow.py
@@ -1,4 +1,4 @@
-"""Following the store's tables through outages, on played time."""
+"""Following the store's tables through outages, on simulated time."""
 
 import asyncio
 from typing import NamedTuple
@@ -37,34 +37,34 @@
     "before": st.floats(0.0, 6.0),
     "length": st.floats(0.0, 12.0),
 }
-"""Seconds that the tables are followed before the store falls silent, which
-sets how far the calls under way have got, and for how long it is silent."""
+"""Seconds for which the tables are followed before the store stops answering,
+which determines the progress of calls in flight, and length of the outage."""
 
 
 class Host(NamedTuple):
-    """One gateway's belief and its way to the store.
+    """One gateway's cluster state and its connection to the store.
 
-    The last of ``pauses`` is the one between its calls; None if others read
-    for it.
+    The last of ``pauses`` is the pause between its calls, or None if other
+    gateways read for it.
     """
 
     rows: RowStore
     client: PlayedClient
-    belief: ClusterState
+    cluster: ClusterState
     follower: StoreFollower
     pauses: list[float | None]
     store: PlatformStore
 
     async def pass_outage(self, before: float, length: float) -> None:
-        """Follow for a while, then go through a silence of the store."""
+        """Follow for a while, then go through an outage without answers."""
         await asyncio.sleep(before)
         self.client.begin_silence()
         await asyncio.sleep(length)
         self.client.end_silence()
 
     def serves(self) -> bool:
-        """Tell whether the runner is believed to take requests."""
-        return bool(self.belief.find_runners("desk"))
+        """Tell whether the gateway counts the runner as available."""
+        return bool(self.cluster.find_runners("desk"))
 
 
 async def start_host(group: asyncio.TaskGroup) -> Host:
@@ -74,12 +74,12 @@
     entry = make_entry("desk", Address("10.0.0.2", 80), "domain-a")
     await rows.put("servers", RUNNER, entry)
     client = PlayedClient(rows)
-    belief = ClusterState(asyncio.get_running_loop().time)
+    cluster = ClusterState(asyncio.get_running_loop().time)
     pauses: list[float | None] = [MESH_READ_PAUSE_SECONDS]
     store = PlatformStore(client, STORE)
     follower = StoreFollower(
         store,
-        belief,
+        cluster,
         lambda key: None,
         lambda: None,
         lambda: pauses[-1],
@@ -89,18 +89,18 @@
         lambda row: None,
     )
     group.create_task(follower.run())
-    group.create_task(keep_up(belief))
-    return Host(rows, client, belief, follower, pauses, store)
+    group.create_task(keep_up(cluster))
+    return Host(rows, client, cluster, follower, pauses, store)
 
 
-async def keep_up(belief: ClusterState) -> None:
+async def keep_up(cluster: ClusterState) -> None:
     while True:
         await asyncio.sleep(MAINTENANCE_INTERVAL_SECONDS)
-        belief.drop_lapsed()
+        cluster.drop_lapsed()
 
 
 async def count_seconds(condition) -> float:
-    """Return how long a condition takes to come."""
+    """Return the seconds until a condition holds."""
     steps = 0
     while not condition() and steps * STEP_SECONDS < LONGEST_SECONDS:
         await asyncio.sleep(STEP_SECONDS)
@@ -109,7 +109,7 @@
 
 
 def play_host(story) -> float:
-    """Play a story of one host and return its result."""
+    """Run a scenario of one host and return its result."""
 
     async def run() -> float:
         async with asyncio.TaskGroup() as group:
@@ -126,19 +126,19 @@
     @given(**OUTAGES)
     @example(before=0.4, length=9.2)
     def test_a_configuration_written_at_the_return(self, before, length):
-        """Requests judged by what was replaced in an outage of the store."""
+        """Guards against serving by a configuration replaced in an outage."""
 
         async def story(host: Host) -> float:
             await host.pass_outage(before, length)
             await host.rows.put("op", "config", make_configuration(2))
-            return await count_seconds(lambda: host.belief.version == 2)
+            return await count_seconds(lambda: host.cluster.version == 2)
 
         assert play_host(story) < BOUNDS.contact_seconds
 
     @given(**OUTAGES)
     @example(before=0.4, length=9.2)
     def test_a_runner_that_goes_after_the_return(self, before, length):
-        """Requests sent to a runner that left well after an outage."""
+        """Guards against requests to a runner that left after an outage."""
 
         async def story(host: Host) -> float:
             await host.pass_outage(before, length)
@@ -150,7 +150,7 @@
 
     @given(before=OUTAGES["before"])
     def test_a_runner_that_goes_as_all_connections_fall_silent(self, before):
-        """Requests sent to a runner whose deletion was taken for a lapse."""
+        """Guards against treating a runner's deletion as a lapse."""
 
         async def story(host: Host) -> float:
             await host.pass_outage(before, 0.0)
@@ -178,12 +178,12 @@
         return int(play_host(story))
 
     def test_who_need_not_read_asks_seldom(self):
-        """All that had lost the store asked it four times a second."""
+        """Guards against four probes a second by each gateway."""
         assert self.count_calls(None) <= 12
         assert self.count_calls(MESH_READ_PAUSE_SECONDS) > 60
 
     def test_who_need_not_read_notices_the_return(self):
-        """It would be passed over as a reader for ever."""
+        """Guards against a gateway that is never a reader again."""
 
         async def story(host: Host) -> float:
             await lose_store(host)
@@ -195,7 +195,7 @@
         assert play_host(story) < BOUNDS.contact_seconds
 
     def test_who_has_to_read_asks_at_once(self):
-        """The others that read have gone while it waited."""
+        """Guards against delay when the other readers have gone meanwhile."""
 
         async def story(host: Host) -> float:
             await lose_store(host)
@@ -209,7 +209,7 @@
 
 
 async def lose_store(host: Host) -> None:
-    """Refuse a host's calls until it knows that it has lost the store."""
+    """Refuse a host's calls until it notices the loss of the store."""
     await asyncio.sleep(1.0)
     host.client.begin_refusal()
     await count_seconds(lambda: host.follower.lost)
@@ -217,21 +217,25 @@
 
 
 class TestRestart:
-    """What a gateway believes when it reads everything anew."""
+    """A gateway's view of the cluster when it reads all tables again."""
 
-    @pytest.mark.parametrize("told", ["restart", "note_era"])
-    def test_a_feed_s_answer_is_not_taken_for_the_whole_table(self, told):
-        """All runners gone, as a feed was answered just before a restart."""
+    @pytest.mark.parametrize("method", ["restart", "handle_new_era"])
+    def test_a_feed_s_answer_is_not_taken_for_the_whole_table(self, method):
+        """Guards against dropping all runners after a feed answer.
+
+        The feed answers just before a restart of the follower, and the rows
+        that it does not name would count as deleted.
+        """
 
         async def story(host: Host) -> bool:
             await asyncio.sleep(1.0)
             endpoints = host.follower.endpoints
             endpoints._call.add_done_callback(
-                lambda call: getattr(endpoints, told)()
+                lambda call: getattr(endpoints, method)()
             )
             entry = make_entry("chat", Address("10.0.0.3", 80), "domain-a")
             await host.rows.put("servers", "chat-1", entry)
-            await count_seconds(lambda: host.belief.is_known("chat-1"))
+            await count_seconds(lambda: host.cluster.is_known("chat-1"))
             return host.serves()
 
         assert play_host(story)
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -1,4 +1,4 @@
-"""Work that passes from one process to another, outside of the duties."""
+"""Work that passes between processes: shards, sweeps, claims, usage."""
 
 import asyncio
 from collections import deque
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def played_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let leases and shards go by the played loop's time."""
+    """Make leases and shards use the simulated clock."""
     for module in ("store.lease", "controller.loop"):
         monkeypatch.setattr(f"lagoonpost.{module}.read_clock", read_played)
 
@@ -36,7 +36,7 @@
 
 
 class Turn:
-    """One time for which a controller worked on a shard."""
+    """One period in which a controller worked on a shard."""
 
     def __init__(self, name: str, fence: int) -> None:
         self.name = name
@@ -49,7 +49,7 @@
     """Controllers of one shard over one store.
 
     Args:
-        ending: Seconds that the work goes on for once it is cancelled.
+        ending: Seconds for which the work continues after its cancellation.
     """
 
     def __init__(self, ending: float = 0.0) -> None:
@@ -83,7 +83,7 @@
             await self.stop(name)
 
     def check(self) -> None:
-        """Check that one works at a time, with a higher fence each."""
+        """Check that turns do not overlap and that fences increase."""
         for before, after in zip(self.turns, self.turns[1:], strict=False):
             assert before.ended is not None
             assert before.ended <= after.began
@@ -91,20 +91,20 @@
 
 
 REST_SECONDS = DEFAULT_POLICY.order + DEFAULT_POLICY.handback_delay
-"""Time for which a host that held a lease lately leaves it after a start."""
+"""Time after a start for which the previous holder does not take a lease."""
 
 
 @pytest.mark.usefixtures("played_clock")
 class TestShards:
     def test_a_flapping_list_moves_a_shard_once_a_while(self):
-        """Guards against a shard that goes to and fro with the list."""
+        """Guards against a shard that moves with each change of the list."""
 
         async def story() -> Shards:
             shards = Shards()
             names = {"one", "two", "three"}
 
             def list_live(own: str, period: float) -> set[str]:
-                # Each of them loses all others from sight now and then.
+                # Each controller sees only itself from time to time.
                 seen = int(read_played() / period) % 3
                 return names if seen else {own}
 
@@ -120,7 +120,7 @@
         assert len(shards.turns) <= 21
 
     def test_restarts_in_turn_work_one_after_another(self):
-        """Guards against two that work at once when A, B, A hold a shard."""
+        """Guards against two at work when A, B and A again hold a shard."""
 
         async def story() -> Shards:
             shards = Shards()
@@ -143,7 +143,7 @@
         assert names == ["one", "two"] * 3 or names == ["two", "one"] * 3
 
     def test_a_shard_is_given_away_after_its_work(self):
-        """Guards against work that goes on under a lease given away."""
+        """Guards against work that continues under a released lease."""
 
         async def story() -> Shards:
             shards = Shards(ending=20.0)
@@ -165,10 +165,11 @@
 
 class TestOrdersOfTurns:
     def test_orders_of_three_turns_stay_in_order(self):
-        """Guards against A's late order after B's, and B's after A's next.
+        """Guards against orders applied out of order in the turns A, B, A.
 
-        The runner ignores fencing numbers, and each gives the lease away
-        right after its order has left.
+        A's late order could come after B's, and B's after A's next. The
+        runner ignores fencing numbers, and each holder releases the lease
+        right after it has sent its order.
         """
         world = World([1.0, 1.0])
         one, two = world.holders
@@ -190,7 +191,10 @@
 
 class TestSweepers:
     def test_a_late_deletion_leaves_a_new_claim(self):
-        """Guards against a booking that runs twice after two sweepers."""
+        """Guards against a booking that runs twice after two sweeps.
+
+        The first sweeper's deletion is applied late, after a new claim.
+        """
 
         async def story() -> MemoryStore:
             store = MemoryStore()
@@ -218,8 +222,9 @@
     def test_a_key_that_goes_to_and_fro_runs_once(self):
         """Guards against a booking that runs under an old claim.
 
-        The first claim hangs and is given up, another gateway's is voided,
-        and the first gateway takes the key again; then all that hung comes.
+        The first claim's write hangs and times out, another gateway's claim
+        is voided, and the first gateway claims the key again. Then all
+        pending writes are applied.
         """
         world = LedgerWorld()
         for faults in (("late",) * 4, ("none", "no_runner", "none")):
@@ -240,7 +245,7 @@
 
 class TestUsage:
     def test_all_turns_report_the_same_counts(self):
-        """Guards against two bills of one window in the order A, B, A."""
+        """Guards against two bills of one window when A, B, A are leaders."""
         store = MemoryStore()
         faults = deque(["late"])
         store.fault = lambda call: faults.popleft() if faults else ""
@@ -255,16 +260,16 @@
 
 
 def make_duties(store: MemoryStore, begun: int) -> LeaderDuties:
-    """Return the duties of a gateway that has heard of some requests."""
+    """Return the duties of a gateway that received a usage count."""
     report = GatewayReport(
         "g", "r", {}, {}, {}, {7: {"pottery": begun}}, {}, {}, {}, 1, {}
     )
     written = UsageGossip(
-        "g", lambda fact: None, lambda s: s, lambda *told: None
+        "g", lambda fact: None, lambda s: s, lambda *recorded: None
     )
     shared = SimpleNamespace(
-        reports=SimpleNamespace(run_id="r", all_reports=lambda: [report]),
-        written=written,
+        reports=SimpleNamespace(run_id="r", list_reports=lambda: [report]),
+        usage_gossip=written,
     )
     settings = SimpleNamespace(
         name="g",
--- a/test/test_holder.py
+++ b/test/test_holder.py
@@ -1,4 +1,4 @@
-"""Who does the duties, and when they pass on, over a store in memory."""
+"""Which gateway is the leader and when that changes, with a memory store."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,7 +32,7 @@
 
 
 class Desk:
-    """Takes usage reports, and answers when it is let."""
+    """Receives usage reports, and answers once ``may_answer`` is set."""
 
     def __init__(self) -> None:
         self.begun = 0
@@ -50,7 +50,7 @@
 
 
 class Gateway:
-    """One gateway's duties among others that are only names."""
+    """One gateway's duties; the other gateways are only names."""
 
     def __init__(self, store: MemoryStore, first_start: bool = True) -> None:
         self.store = store
@@ -66,8 +66,8 @@
         )
         shared = SimpleNamespace(
             find_roles=self._find_roles,
-            reports=SimpleNamespace(run_id="run", all_reports=list),
-            written=SimpleNamespace(
+            reports=SimpleNamespace(run_id="run", list_reports=list),
+            usage_gossip=SimpleNamespace(
                 usage={}, publish_usage=lambda window, counts: None
             ),
         )
@@ -86,11 +86,11 @@
         )
 
     def read_lease(self) -> LeaseRow:
-        """Return the lease as the store has it."""
+        """Return the lease in the store."""
         return msgspec.convert(self.store.rows[LEASE_KEY].value, LeaseRow)
 
     async def look_on(self) -> None:
-        """Wait until it has looked some times at who else is there."""
+        """Wait until the gateway has checked the roles some times."""
         looks = self.looks + LOOKS
         await wait_until(lambda: self.looks >= looks)
 
@@ -98,7 +98,7 @@
 def play(
     story: Callable[[Gateway], Awaitable[_T]], first_start: bool = True
 ) -> _T:
-    """Run a story of one gateway."""
+    """Run a scenario of one gateway."""
 
     async def run() -> _T:
         gateway = Gateway(MemoryStore(), first_start)
@@ -124,7 +124,7 @@
 
 class TestHolder:
     def test_holder_stays_when_others_come(self) -> None:
-        """Guards against a healthy holder that is pushed out by a restart."""
+        """Guards against a restart that displaces a healthy leader."""
 
         async def story(gateway: Gateway) -> None:
             gateway.desk.may_answer.set()
@@ -139,7 +139,7 @@
         play(story)
 
     def test_holder_that_no_longer_hears_all_gives_it_away(self) -> None:
-        """Guards against counts and orders by a part of the gateways."""
+        """Guards against counts and orders based on a part of the reports."""
 
         async def story(gateway: Gateway) -> None:
             gateway.desk.may_answer.set()
@@ -155,7 +155,7 @@
     def test_duties_wait_until_the_others_are_heard(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against usage and orders by one gateway's requests alone."""
+        """Guards against usage and orders based on one gateway's requests."""
         monkeypatch.setattr(duties, "REPORT_WAIT_SECONDS", 3600.0)
 
         async def story(gateway: Gateway) -> None:
@@ -168,7 +168,7 @@
 
 class TestRelease:
     def test_lease_is_kept_while_a_call_is_under_way(self) -> None:
-        """Guards against a call that ends after the next holder's began."""
+        """Guards against a call that ends after the next leader's began."""
 
         async def story(gateway: Gateway) -> None:
             await wait_until(lambda: gateway.desk.begun > 0)
@@ -182,7 +182,7 @@
         play(story)
 
     def test_leaving_gateway_does_not_take_the_lease_again(self) -> None:
-        """Guards against a holder that is about to end."""
+        """Guards against a leader whose process is about to end."""
 
         async def story(gateway: Gateway) -> None:
             gateway.desk.may_answer.set()
@@ -197,7 +197,7 @@
     def test_call_under_way_may_not_leave_once_the_lease_is_given_away(
         self,
     ) -> None:
-        """Guards against a call whose connection took long to be made."""
+        """Guards against a late call whose connection was slow to open."""
 
         async def story(gateway: Gateway) -> None:
             await wait_until(lambda: gateway.desk.begun > 0)
@@ -217,7 +217,7 @@
     def test_call_counts_as_work_until_its_effect_is_known(
         self, outcome: CloudOutcome, seconds: float
     ) -> None:
-        """Guards against A, B, A by a call that is carried out late."""
+        """Guards against effects in the order A, B, A by a late call."""
 
         async def story(gateway: Gateway) -> None:
             gateway.desk.outcome = outcome
@@ -232,7 +232,7 @@
         play(story)
 
     def test_rest_is_longer_than_the_bound_on_turns(self) -> None:
-        """Guards against A, B, A at the end of the rest."""
+        """Guards against leaders A, B, A at the end of A's rest."""
 
         async def story(gateway: Gateway) -> None:
             policy = gateway.duties._lease.lease.policy
--- a/test/test_measure.py
+++ b/test/test_measure.py
@@ -1,4 +1,4 @@
-"""What a new holder of the duties takes for the load."""
+"""The load that a new leader measures."""
 
 from types import SimpleNamespace
 
@@ -14,11 +14,11 @@
 
 
 class Meter:
-    """A gateway's measure of a load that keeps one runner busy."""
+    """A gateway that measures a load which keeps one runner busy."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 600.0
-        self.heard = [f"run-{n}" for n in range(GATEWAYS)]
+        self.reporting = [f"run-{n}" for n in range(GATEWAYS)]
         monkeypatch.setattr(duties, "read_clock", lambda: self.now)
         settings = SimpleNamespace(
             name="one",
@@ -28,8 +28,8 @@
         reports = SimpleNamespace(
             run_id="run-0",
             is_hub=lambda: True,
-            all_reports=self.list_reports,
-            fresh=lambda with_own: self.list_reports(),
+            list_reports=self.list_reports,
+            list_fresh_reports=lambda with_own: self.list_reports(),
         )
         shared = SimpleNamespace(reports=reports)
         self.duties = LeaderDuties(
@@ -53,31 +53,31 @@
                 1,
                 {},
             )
-            for run in self.heard
+            for run in self.reporting
         ]
 
     def measure(self, seconds: float) -> list[float]:
-        found = []
+        measured = []
         for _ in range(int(2 * seconds)):
             self.duties._measure()
             busy = self.duties._meter("chat").busy()
-            found += [] if busy is None else [busy]
+            measured += [] if busy is None else [busy]
             self.now += 0.5
-        return found
+        return measured
 
 
 class TestMeasure:
     def test_those_heard_a_moment_later_are_no_new_load(self, monkeypatch):
-        """Guards against runners ordered at a change of the holder."""
+        """Guards against needless orders of runners at a leader change."""
         meter = Meter(monkeypatch)
-        everyone, meter.heard = meter.heard, meter.heard[:1]
+        everyone, meter.reporting = meter.reporting, meter.reporting[:1]
         meter.measure(0.5)
-        meter.heard = everyone
+        meter.reporting = everyone
         assert max(meter.measure(20.0)) == pytest.approx(1.0, rel=0.2)
 
     def test_one_that_is_forgotten_takes_no_load_away(self, monkeypatch):
-        """Guards against runners sent away a minute after a restart."""
+        """Guards against releasing runners a minute after a restart."""
         meter = Meter(monkeypatch)
         meter.measure(20.0)
-        meter.heard = meter.heard[1:]
+        meter.reporting = meter.reporting[1:]
         assert min(meter.measure(20.0)) > 0.8
--- a/test/test_news.py
+++ b/test/test_news.py
@@ -1,4 +1,4 @@
-"""What gateways learn of the store and of each other, and how soon."""
+"""How changes reach gateways from the store and from peers, and how fast."""
 
 import asyncio
 
@@ -29,10 +29,11 @@
         assert play(story) == 0
 
     def test_news_comes_from_peers_while_the_store_turns_us_away(self):
-        """The store answers one gateway and hangs up on the other.
+        """Guards against stale state at a gateway that the store refuses.
 
-        A key is taken away and a runner leaves meanwhile. The gateway that
-        is turned away would go on serving both.
+        A key is revoked and a runner leaves while the store serves only the
+        other gateway. Without gossip the refused gateway would go on to
+        accept the key and use the runner.
         """
 
         async def story(stack: Stack):
@@ -88,10 +89,11 @@
         play(story)
 
     def test_a_thawed_gateway_reads_everything_anew(self):
-        """A host stands still while its connections to the store die.
+        """Guards against stale state after a suspension of the host.
 
-        The feed's answer never comes. Until its own time-out the gateway
-        would serve by what it knew before.
+        The connections to the store die meanwhile and the feed's answer
+        never comes. Until the call times out, the gateway would serve by
+        its old state.
         """
 
         async def story(stack: Stack):
@@ -124,22 +126,23 @@
         assert play(story) == (8.0, 3.0)
 
     def test_entries_that_lapsed_in_an_outage_are_kept_a_while(self):
-        """All entries lapse while the store is away.
+        """Guards against dropping all runners after a store outage.
 
-        Deleted at once they would leave no runner to send to, although all
-        of them serve and write their entries anew within two seconds.
+        All entries lapse in the outage. Applied at once, the deletions would
+        leave no runner, although all of them serve and rewrite their entries
+        within two seconds.
         """
 
         async def story(stack: Stack):
             belief = stack.gateways[0].view
-            lost = stack.gateways[0]._follower.endpoints
+            follower = stack.gateways[0]._follower.endpoints
             stack.store.outage = "reset"
             await stack.store.delete("servers", "none")
-            await wait_until(lambda: lost.lost)
+            await wait_until(lambda: follower.lost)
             for id_ in stack.runners:
                 await stack.store.delete("servers", id_)
             stack.store.outage = "none"
-            await wait_until(lambda: not lost.lost)
+            await wait_until(lambda: not follower.lost)
             kept = len(belief.find_runners("desk"))
             await stack.register("desk-2")
             await wait_until(lambda: not belief.is_known("desk-1"))
@@ -148,23 +151,24 @@
         assert play(story) == (2, ["desk-2"])
 
     def test_a_runner_that_went_while_one_gateway_had_lost_the_store(self):
-        """One gateway's connection to the store goes silent.
+        """Guards against treating a runner's departure as a lapse.
 
-        A runner leaves just as the gateway regains the store. Taken for an
-        entry that lapsed in an outage, it would get requests for two
-        seconds more, although all other gateways know that it is gone.
+        Only one gateway's connection to the store fails, and a runner leaves
+        just as it recovers. If its entry counted as lapsed in an outage, it
+        would get requests for two more seconds, although all other gateways
+        know of its departure.
         """
 
         async def story(stack: Stack):
             daemon = stack.gateways[0]
-            lost = daemon._follower.endpoints
-            there = daemon._store._address
+            follower = daemon._follower.endpoints
+            address = daemon._store._address
             daemon._store._address = Address("127.0.0.1", 9)
             daemon._follower.restart()
-            await wait_until(lambda: lost.lost)
-            daemon._store._address = there
-            await wait_until(lambda: not lost.lost)
-            # Only what is taken at once counts here.
+            await wait_until(lambda: follower.lost)
+            daemon._store._address = address
+            await wait_until(lambda: not follower.lost)
+            # Only changes that are applied at once count here.
             daemon.view.drop_lapsed = list
             await stack.store.delete("servers", "desk-1")
             await wait_until(lambda: not daemon.view.is_known("desk-1"))
@@ -174,11 +178,12 @@
 
 class TestFetch:
     def test_a_silent_source_leaves_time_for_two_others(self):
-        """A host goes, and a change of the configuration follows.
+        """Guards against a long wait for a configuration from a dead peer.
 
-        Those that do not read the store ask a peer for it. The one that
-        has gone is held to run for some seconds; whoever asks it would
-        wait for five, and serve by the old configuration meanwhile.
+        Gateways that do not read the store fetch a configuration from a
+        peer. A host that has just disappeared counts as alive for some
+        seconds. A gateway that asks it would wait for five seconds and serve
+        by the old configuration meanwhile.
         """
         waits: list[float] = []
 
@@ -201,10 +206,11 @@
 
 class TestAcquaintance:
     def test_groups_that_started_apart_meet(self):
-        """Two pairs of gateways start and know nothing of each other.
+        """Guards against two groups of gateways that never find each other.
 
-        The rows by which they are found came late. Each pair would take
-        itself for the whole system, and let whole quotas through.
+        Two pairs of gateways start without the rows by which they find each
+        other, as these came late. Each pair would take itself for the whole
+        system and admit whole quotas.
         """
 
         async def story(stack: Stack):
@@ -228,7 +234,7 @@
 
 
 class TestReaders:
-    """Where gateways are many, a few read the store for the others."""
+    """In large deployments a few gateways read the store for all."""
 
     @pytest.fixture(autouse=True)
     def few_readers(self, monkeypatch):
@@ -236,15 +242,15 @@
         monkeypatch.setattr(hub, "BACKUP_READERS_PER_DOMAIN", 1)
 
     def find_readers(self, stack: Stack) -> list[ForwardingDaemon]:
-        return [each for each in stack.gateways if each._cluster.is_reader()]
+        return [d for d in stack.gateways if d._cluster.is_reader()]
 
     def find_others(self, stack: Stack) -> list[ForwardingDaemon]:
         return [d for d in stack.gateways if not d._cluster.is_reader()]
 
     async def wait_resting(self, stack: Stack) -> list[ForwardingDaemon]:
-        """Return the others once they no longer read the store.
+        """Return the other gateways once they no longer read the store.
 
-        Who reads may change meanwhile, as the store is lost for a moment.
+        The readers may change meanwhile, if one loses the store briefly.
         """
 
         def are_resting() -> bool:
@@ -273,7 +279,7 @@
         assert play(story, gateways=6) == 3
 
     def test_a_reader_that_was_passed_over_for_a_moment_reads_again(self):
-        """Guards against a wait for a gateway to rest that has to read."""
+        """Guards against a reader that is mistaken for a resting gateway."""
 
         async def story(stack: Stack):
             shared = stack.gateways[0]._cluster
@@ -284,10 +290,11 @@
         assert not play(story, gateways=6)
 
     def test_others_read_when_the_readers_have_lost_the_store(self):
-        """The store turns the readers away and serves all others.
+        """Guards against stale state when only the readers lose the store.
 
-        A runner that leaves meanwhile would go on getting requests at every
-        gateway, as those that read tell the others nothing.
+        The store refuses the readers and serves all others. A runner that
+        leaves meanwhile would still get requests from every gateway, as the
+        readers publish nothing.
         """
 
         async def story(stack: Stack):
@@ -307,12 +314,12 @@
 
     @pytest.mark.parametrize("silenced", [1, 2], ids=["calls", "all"])
     def test_others_read_when_the_readers_fall_silent(self, silenced):
-        """A configuration reaches nobody while all readers hear nothing."""
+        """Guards against a configuration that no gateway gets."""
 
         async def story(stack: Stack):
             others = await self.wait_resting(stack)
             for daemon in self.find_readers(stack):
-                # Following the store comes first, telling others second.
+                # The first task follows the store, the second gossips.
                 for task in daemon._tasks[:silenced]:
                     task.cancel()
             await stack.store.put("op", "config", make_configuration(7))
@@ -323,9 +330,10 @@
         play(story, gateways=6)
 
     def test_changes_are_gathered(self):
-        """Runners renew their entries many times a second in all.
+        """Guards against a store call for each change.
 
-        A call for each change would be most of the calls to the store.
+        Runners together renew their entries many times a second, and a call
+        for each change would be most of the calls to the store.
         """
 
         async def story(stack: Stack):
@@ -341,24 +349,25 @@
         assert play(story) < 20
 
     def test_a_renewed_entry_is_not_told(self):
-        """Each runner renews its entry every second.
+        """Guards against gossip without information.
 
-        Told to all gateways, that fills their links and says nothing.
+        Each runner renews its entry every second. Published to all gateways,
+        the renewals would fill their links.
         """
 
         async def story(stack: Stack):
-            told = []
+            published = []
             shared = stack.gateways[0]._cluster
             publish = shared.peers.publish
             shared.peers.publish = lambda fact: (
-                told.append(fact.key),
+                published.append(fact.key),
                 publish(fact),
             )
             await stack.register("desk-1", seq=2)
             await stack.register("desk-2", state="draining")
             belief = stack.gateways[0].view
             await wait_until(lambda: len(_desks(belief)) == 1)
-            return told
+            return published
 
         assert play(story) == ["desk-2"]
 
--- a/test/test_reports.py
+++ b/test/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of gateways and the sums of their hubs, over real datagrams."""
+"""Reports of gateways and summaries of hubs, over real datagrams."""
 
 import asyncio
 
@@ -24,12 +24,12 @@
 COUNT = 20
 
 
-class Party:
-    """A gateway that has one request open and let ``units`` through."""
+class Delegate:
+    """A gateway that has one open request."""
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.heard: list[GatewayReport] = []
+        self.received: list[GatewayReport] = []
         self.taken: UsageByAge = {}
         self.read_age: float | None = None
 
@@ -50,7 +50,7 @@
         )
 
     def handle_report(self, report: GatewayReport) -> None:
-        self.heard.append(report)
+        self.received.append(report)
 
     def list_taken(self) -> UsageByAge:
         return {"pottery": [(0.5, 7.0)]}
@@ -75,13 +75,13 @@
             )
             for number, port in enumerate(ports)
         ]
-        self.parties = [Party(number) for number in range(COUNT)]
+        self.delegates = [Delegate(number) for number in range(COUNT)]
         self.posts = [Post() for _ in ports]
         self.reports = [
             ReportExchange(
                 member.name,
                 Address("127.0.0.1", ports[number]),
-                self.parties[number],
+                self.delegates[number],
                 lambda: tuple(self.members),
                 lambda: tuple(self.members),
                 lambda: choose_roles(self.members, ()),
@@ -123,9 +123,9 @@
         asyncio.run(story())
 
     def test_only_hubs_hear_reports(self):
-        """Each gateway's reports would else go to all others.
+        """Guards against reports that go from each gateway to all others.
 
-        At 82 gateways that was more than all answers to callers.
+        At 82 gateways that is more traffic than all answers to callers.
         """
 
         async def story() -> None:
@@ -134,13 +134,13 @@
                     lambda: all(each.sum_peer_work() for each in crowd.reports)
                 )
                 hubs = choose_roles(crowd.members, ()).hubs
-                for member, party in zip(
-                    crowd.members, crowd.parties, strict=True
+                for member, delegate in zip(
+                    crowd.members, crowd.delegates, strict=True
                 ):
-                    heard = {report.name for report in party.heard}
-                    assert bool(heard) == (member.name in hubs)
+                    received = {report.name for report in delegate.received}
+                    assert bool(received) == (member.name in hubs)
                     if member.name not in hubs:
-                        assert party.taken == {"pottery": [(0.5, 7.0)]}
+                        assert delegate.taken == {"pottery": [(0.5, 7.0)]}
 
         asyncio.run(story())
 
@@ -163,14 +163,17 @@
         asyncio.run(story())
 
     def test_a_hub_that_does_not_read_hears_the_readers(self):
-        """A hub gets no sums, and would read the store for ever."""
+        """Guards against a hub that reads the store for ever.
+
+        A hub gets no summaries, so it learns of the readers from reports.
+        """
 
         async def story() -> None:
             async with Crowd() as crowd:
                 hub = crowd.reports[0]
                 assert hub.is_hub()
                 hub._started -= 60.0
-                crowd.parties[5].read_age = 0.1
+                crowd.delegates[5].read_age = 0.1
                 await wait_until(lambda: hub.find_contact_ages().store < 1.0)
                 assert hub.find_contact_ages().hub < 1.0
 
@@ -179,7 +182,7 @@
     def test_a_host_that_was_suspended_hears_nobody_at_first(
         self, monkeypatch
     ):
-        """Guards against quotas by news from before a suspension."""
+        """Guards against quotas based on reports from before a suspension."""
 
         async def story() -> None:
             async with Crowd() as crowd:
@@ -206,11 +209,11 @@
         assert decode_letter(encode_letter(report)) == report
 
     def test_late_sums_of_a_hub_before_are_passed_over(self):
-        """Guards against an older state after two changes of the hub."""
+        """Guards against an older summary after the hub changed twice."""
         reports = ReportExchange(
             "gateway",
             Address("127.0.0.1", 1),
-            Party(1),
+            Delegate(1),
             tuple,
             tuple,
             lambda: Roles(("a", "b"), frozenset(), False),
@@ -220,9 +223,9 @@
         for hub, number, requests in [("a", 4, 1), ("b", 1, 2), ("a", 3, 9)]:
             work = {"runner": RunnerWork(requests)}
             summary = HubSummary(hub, number, "", 0, 3, work, {})
-            reports._take_summary(summary, Address("127.0.0.1", 1))
+            reports._handle_summary(summary, Address("127.0.0.1", 1))
         assert reports.sum_peer_work()["runner"].requests == 2
 
 
 def _make_report() -> GatewayReport:
-    return Party(3).make_report("gateway", "run")
+    return Delegate(3).make_report("gateway", "run")
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -1,4 +1,4 @@
-"""Services that move to a new version: what callers get of it."""
+"""Services that shift to a new version, and the effect on callers."""
 
 import asyncio
 import time
@@ -49,7 +49,7 @@
 
 
 class Version(NamedTuple):
-    """How a version answers: parts that fail, and that are slow."""
+    """How a version answers: shares of failed and of slow answers."""
 
     failed: float = 0.02
     slow: float = 0.05
@@ -73,9 +73,9 @@
     seed: int = 0,
     outage: bool = False,
 ) -> Result:
-    """Play one order; both versions fail alike in an outage."""
+    """Simulate one order; both versions fail alike in an outage."""
     rng = Random(seed)
-    judge = ShiftEvaluator(ShiftOrder("chat", "v2", seconds, 1), 0.0)
+    evaluator = ShiftEvaluator(ShiftOrder("chat", "v2", seconds, 1), 0.0)
     exposures = [Exposure() for _ in range(gateways)]
     counts: dict[str, VersionCounts] = {}
     heard: dict[str, VersionCounts] = {}
@@ -107,7 +107,7 @@
         counts[route] = add_counts(counts.get(route, VersionCounts()), one)
         if now >= next_look:
             next_look = now + 0.5
-            phase = judge.advance(phase, heard, now)
+            phase = evaluator.advance(phase, heard, now)
             heard = dict(counts)
     late = last_new - bad_at[49] if len(bad_at) >= 50 else 0.0
     total = sum(each.total for each in exposures)
@@ -128,9 +128,10 @@
         [Version(failed=0.5), Version(slow=0.9), Version(failed=1.0)],
     )
     def test_a_bad_version_meets_few(self, version, seed):
-        """A new version fails half of its requests from the start.
+        """Guards against a bad version that gets too many requests.
 
-        Spread over all runners alike it would get half of all callers.
+        It fails half of its requests from the start. With requests spread
+        evenly over all runners it would get half of them.
         """
         result = play_shift(version, gateways=9, rate=25.0, seed=seed)
         assert result.phase == "taken_back"
@@ -138,7 +139,7 @@
 
     @pytest.mark.parametrize("seed", range(20))
     def test_a_version_that_turns_bad_under_all_requests(self, seed):
-        """The version is good while it is tried, and bad under full load."""
+        """Guards against a version that fails only under full load."""
         version = Version(failed=0.5, bad_from=13.0)
         result = play_shift(version, gateways=82, rate=240.0, seed=seed)
         assert result.phase == "taken_back"
@@ -152,18 +153,18 @@
         assert result.phase == "complete"
 
     def test_nothing_is_complete_without_answers(self):
-        judge = ShiftEvaluator(ShiftOrder("chat", "v2", 10.0, 1), 0.0)
-        assert judge.advance("trial", {}, 60.0) == "trial"
+        evaluator = ShiftEvaluator(ShiftOrder("chat", "v2", 10.0, 1), 0.0)
+        assert evaluator.advance("trial", {}, 60.0) == "trial"
 
 
 class TestShift:
     async def send(self, stack: Stack, answers: list[int]) -> None:
-        """Send more at once than one runner has slots for."""
+        """Send more requests at once than one runner has slots for."""
         calls = [stack.call("/check/1") for _ in range(AT_ONCE)]
         answers += [each.status for each in await asyncio.gather(*calls)]
 
     async def move(self, stack: Stack) -> tuple[str, int]:
-        """Order a move to v2 and send until it has ended."""
+        """Order a shift to v2 and send requests until it has ended."""
         await stack.register("desk-3", version="v2")
         await stack.register("desk-4", version="v2")
         order = {"service": "desk", "to": "v2", "duration_s": 3.5}
@@ -192,9 +193,10 @@
         assert old > 0
 
     def test_a_bad_version_gets_nothing_after_it_was_taken_back(self):
-        """Operators move a service to a version that fails each request.
+        """Guards against requests to a version after its rollback.
 
-        Both gateways stop sending to it, also the one that did not judge.
+        Operators shift a service to a version that fails each request. Both
+        gateways must stop using it, also the one that did not evaluate it.
         """
 
         async def story(stack: Stack):
@@ -225,7 +227,7 @@
         assert tried == after
 
     def test_a_bad_version_is_taken_back_though_the_holder_died(self):
-        """Guards against a fault that goes on for the length of a lease."""
+        """Guards against a fault that lasts for the length of a lease."""
 
         async def story(stack: Stack):
             await wait_until(lambda: bool(find_holders(stack)))
@@ -249,9 +251,10 @@
         )
 
     def test_an_end_that_was_told_before_stands(self):
-        """All gateways are killed right after a move was taken back.
+        """Guards against a second trial of a version after its rollback.
 
-        Those that start would try the bad version once more.
+        All gateways are killed right after the rollback, and the new ones
+        know of it only from the status.
         """
 
         async def story(stack: Stack):
@@ -278,12 +281,12 @@
 
 
 class TestReturnOfTheStore:
-    """Orders that a store shows again after it came back from a copy."""
+    """Orders that a store shows again after its restore from a copy."""
 
     def setup_method(self) -> None:
-        self.told: list[Fact] = []
+        self.published: list[Fact] = []
         self.shifts = VersionShifts(
-            BOUNDS, Random(1), self.told.append, time.time
+            BOUNDS, Random(1), self.published.append, time.time
         )
 
     def take(self, era: int, version: int, to: str) -> None:
@@ -301,12 +304,12 @@
         return shift.order.to, shift.phase
 
     def test_a_version_that_was_taken_back_is_not_tried_again(self):
-        """Guards against an order that operators write again."""
+        """Guards against a new trial when operators repeat the order."""
         self.take(0, 50, "v2")
         self.take_back()
         self.take(1, 41, "v2")
         assert self.phase() == ("v2", "taken_back")
-        assert self.told[-1].rank > self.told[0].rank
+        assert self.published[-1].rank > self.published[0].rank
 
     def test_an_older_order_of_the_copy_is_not_followed(self):
         self.take(0, 20, "v2")
@@ -321,7 +324,7 @@
         assert self.phase() == ("v3", "trial")
 
     def test_operators_are_told_again_how_an_order_ended(self):
-        """Guards against a status that reads active for good."""
+        """Guards against a status that stays active for good."""
         rows = RowStore()
         store = PlatformStore(PlayedClient(rows), Address("10.0.0.1", 80))
         store.eras.on_era.append(self.shifts.handle_new_era)
@@ -341,7 +344,7 @@
 
 
 class Holder:
-    """A gateway that may judge orders; it hears nothing of the others."""
+    """A gateway that may evaluate orders and receives no reports."""
 
     def __init__(self, rows: RowStore, services: tuple[str, ...]) -> None:
         self.shifts = VersionShifts(
@@ -377,21 +380,21 @@
         await asyncio.sleep(1.0)
 
     def judge(self, phase: ShiftPhase, service: str = "chat") -> None:
-        judge = self.shifts._shifts[service].judge
-        advance = judge.advance
+        evaluator = self.shifts._shifts[service].evaluator
+        advance = evaluator.advance
 
-        def come_to(held: ShiftPhase, *known: Any) -> ShiftPhase:
-            ended = held in ("complete", "taken_back")
-            return advance(held, *known) if ended else phase
+        def force_phase(current: ShiftPhase, *args: Any) -> ShiftPhase:
+            ended = current in ("complete", "taken_back")
+            return advance(current, *args) if ended else phase
 
-        judge.advance = come_to  # type: ignore[method-assign]
+        evaluator.advance = force_phase  # type: ignore[method-assign]
 
     def phase(self) -> ShiftPhase:
         return self.shifts._shifts["chat"].phase
 
 
 class TestHolders:
-    """Two gateways judge an order in turn and differ over its end."""
+    """Two gateways evaluate an order in turn and disagree on its end."""
 
     def play(
         self,
@@ -416,7 +419,7 @@
     def test_the_first_end_stands(
         self, end: tuple[ShiftPhase, ShiftPhase, str], held_before: bool
     ) -> None:
-        """Guards against runners of both versions that are stopped."""
+        """Guards against stopping the runners of both versions."""
         first, second, state = end
 
         async def story(rows: RowStore, one: Holder, two: Holder) -> None:
@@ -432,7 +435,7 @@
         assert one.phase() == two.phase() == first
 
     def test_a_holder_tells_nothing_after_its_turn(self) -> None:
-        """Guards against an end judged while the store was waited for."""
+        """Guards against a decision written after a slow store call."""
 
         async def story(rows: RowStore, one: Holder, two: Holder) -> None:
             await one.hold(2.0)
@@ -447,7 +450,7 @@
         assert self.play(story, ("desk", "chat"))[0] == "active"
 
     def test_a_late_write_of_the_one_before_has_no_effect(self) -> None:
-        """Guards against an end that a lost call writes in another's turn."""
+        """Guards against a final status written by an old leader's call."""
 
         async def story(rows: RowStore, one: Holder, two: Holder) -> None:
             await one.hold(2.0)
@@ -461,7 +464,7 @@
     def test_a_turn_that_begins_near_the_deadline_completes_in_time(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a good version that is complete after its time."""
+        """Guards against a good version that completes after its deadline."""
         monkeypatch.setattr(
             "lagoonpost.forwarding.version_shifts.read_clock",
             lambda: asyncio.get_running_loop().time(),
@@ -479,20 +482,20 @@
     def test_a_restarted_holder_completes_in_time(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a deadline counted from a gateway's start."""
+        """Guards against a deadline that counts from a gateway's start."""
         monkeypatch.setattr(
             "lagoonpost.forwarding.version_shifts.read_clock",
             lambda: asyncio.get_running_loop().time(),
         )
 
         async def story(rows: RowStore, one: Holder, two: Holder) -> None:
-            told: list[Fact] = []
-            one.shifts._publish = told.append
+            published: list[Fact] = []
+            one.shifts._publish = published.append
             one.judge("all")
             await asyncio.sleep(8.0)
             await one.hold(1.0)
             started = Holder(rows, ("chat",))
-            for fact in told:
+            for fact in published:
                 started.shifts.handle_fact(fact)
             task = asyncio.create_task(started.run())
             await started.hold(6.0)
--- a/test/test_shift_start.py
+++ b/test/test_shift_start.py
@@ -1,4 +1,4 @@
-"""When the time of a move to a new version began, as gateways tell it."""
+"""The start of a version shift, as gateways gossip it."""
 
 from random import Random
 
@@ -14,29 +14,29 @@
 
 
 class TestStart:
-    """Gateways that learned an order at other times."""
+    """Gateways that receive an order at different times."""
 
     def make(self, now: float) -> tuple[VersionShifts, list[Fact]]:
-        """Return a gateway that learns each order at ``now``."""
-        told: list[Fact] = []
+        """Return a gateway that receives each order at ``now``."""
+        published: list[Fact] = []
         shifts = VersionShifts(
-            BOUNDS, Random(1), told.append, lambda: EPOCH + now
+            BOUNDS, Random(1), published.append, lambda: EPOCH + now
         )
-        return shifts, told
+        return shifts, published
 
     def take(self, now: float) -> tuple[VersionShifts, list[Fact]]:
-        shifts, told = self.make(now)
+        shifts, published = self.make(now)
         value = msgspec.json.encode(
             {"service": "chat", "to": "v2", "duration_s": 16}
         )
         shifts.handle_row(FeedRow("rollout/chat", 1, value))
-        return shifts, told
+        return shifts, published
 
     def find_age(self, shifts: VersionShifts) -> float:
         return read_clock() - shifts._shifts["chat"].evaluator.started
 
     def test_it_ages_on_the_way(self) -> None:
-        """Guards against an age as old as the message that told it."""
+        """Guards against an age that stays that of the message's creation."""
         _, (fact,) = self.take(0.0)
         later, _ = self.make(9.0)
         later.handle_fact(fact)
@@ -44,7 +44,7 @@
 
     @pytest.mark.parametrize("first", [True, False])
     def test_the_earliest_holds_of_equal_ranks(self, first: bool) -> None:
-        """Guards against a restarted gateway's start over the first one."""
+        """Guards against a restarted gateway's later start replacing it."""
         _, (early,) = self.take(0.0)
         _, (late,) = self.take(8.0)
         pair = (early, late) if first else (late, early)
@@ -55,21 +55,21 @@
         assert self.find_age(own) == pytest.approx(8.0, abs=0.5)
 
     def test_a_clock_that_is_behind_makes_no_start_to_come(self) -> None:
-        """Guards against an order that starts in a gateway's future."""
+        """Guards against an order that starts in the future."""
         _, (fact,) = self.take(60.0)
         behind, _ = self.make(0.0)
         behind.handle_fact(fact)
         assert self.find_age(behind) == pytest.approx(0.0, abs=0.5)
 
     def test_a_clock_that_is_far_behind_is_not_believed(self) -> None:
-        """Guards against a version that is trusted by one wrong clock."""
+        """Guards against trusting a version because of one wrong clock."""
         _, (fact,) = self.take(-3600.0)
         right, _ = self.make(0.0)
         right.handle_fact(fact)
         assert self.find_age(right) == pytest.approx(0.0, abs=0.5)
 
     def test_a_body_without_it_is_read(self) -> None:
-        """Guards against gateways that can't hear older ones."""
+        """Guards against rejecting facts of older gateways."""
         shifts, _ = self.make(0.0)
         order = ShiftOrder("chat", "v2", 16.0, 1)
         body = msgspec.msgpack.encode((order, "all"))
--- a/test/test_usage.py
+++ b/test/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage windows: what is counted and what is due."""
+"""Usage windows: counting requests and finding due reports."""
 
 from lagoonpost.forwarding.usage_counter import UsageCounter
 from lagoonpost.systems.usage import find_due_windows, sum_begun_requests
@@ -11,9 +11,10 @@
 
 class TestSumBegun:
     def test_runs_of_one_gateway_add_up(self):
-        """A gateway is killed in the middle of a window and starts again.
+        """Guards against losing counts of a gateway that restarts.
 
-        What it counted before its end still belongs to the window.
+        It is killed in the middle of a window, and what it counted before
+        still belongs to the window.
         """
         reports = [
             make_report("before", {7: {"a": 2}, 8: {"a": 1}}),
