--- a/bench/store.py
+++ b/bench/store.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from lagoonpost.store.lease import LeaseKeeper
+from lagoonpost.store.lease import LeaseManager
 from lagoonpost.store.ledger import Ledger
 from lagoonpost.store.store import (
     Committed,
@@ -94,7 +94,7 @@
 
     async def call() -> None:
         for number in left:
-            outcome = await ledger.take(
+            outcome = await ledger.run_booking(
                 f"ledger/w/{number}", "digest", 30.0, _Runner()
             )
             assert isinstance(outcome, Ran)
@@ -120,7 +120,7 @@
     stores = [CountingStore(), CountingStore()]
     stores[1]._table = stores[0]._table
     for name, store in zip(("holder", "contender"), stores, strict=True):
-        keeper = LeaseKeeper(store, "shard", name, name, quick)
+        keeper = LeaseManager(store, "shard", name, name, quick)
         task = asyncio.create_task(keeper.run())
         await asyncio.sleep(LEASE_SECONDS)
         if name == "contender":
--- a/lagoonpost/controller/daemon.py
+++ b/lagoonpost/controller/daemon.py
@@ -14,9 +14,9 @@
 from lagoonpost.http.client import Client
 from lagoonpost.peers.node import Peers, PeerSettings
 from lagoonpost.settings import ControllerSettings
-from lagoonpost.store.lease import LeaseKeeper
+from lagoonpost.store.lease import LeaseManager
 from lagoonpost.store.table import TableStore
-from lagoonpost.store.watch import Watch
+from lagoonpost.store.watch import DeclarationWatch
 from lagoonpost.systems.order import DesiredState
 from lagoonpost.tables.entity import Declaration, Runner
 from lagoonpost.tables.fact import Fact
@@ -37,7 +37,7 @@
         self._client = Client()
         self._store = TableStore(self._client, settings.platform)
         self._declaration = Declaration()
-        self._watch = Watch(self._store, self._apply_declaration)
+        self._watch = DeclarationWatch(self._store, self._apply_declaration)
         self._peers = Peers(
             PeerSettings(
                 name=settings.name,
@@ -84,7 +84,7 @@
     def _handle_facts(self, facts: Sequence[Fact]) -> None:
         for fact in facts:
             if fact.kind == "revision":
-                self._watch.hear(fact.rank)
+                self._watch.observe_revision(fact.rank)
 
     def _handle_members(self, members: Sequence[Member]) -> None:
         """Ignore membership changes; live members are read on demand."""
@@ -96,7 +96,7 @@
             if member.role == "controller"
         ]
 
-    async def _run_shard(self, shard: str, keeper: LeaseKeeper) -> None:
+    async def _run_shard(self, shard: str, keeper: LeaseManager) -> None:
         if shard == SWEEP_SHARD:
             await sweep_ledger(self._store, keeper)
             return
--- a/lagoonpost/controller/loop.py
+++ b/lagoonpost/controller/loop.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Collection
 
 from lagoonpost.store.clock import read_clock
-from lagoonpost.store.lease import DEFAULT_POLICY, LeaseKeeper
+from lagoonpost.store.lease import DEFAULT_POLICY, LeaseManager
 from lagoonpost.store.store import Store
 from lagoonpost.systems.lease import LeasePolicy
 from lagoonpost.systems.shard import Claim, choose_claim, rank_controller
@@ -13,7 +13,7 @@
 TICK_SECONDS = 0.2
 NONCE_BYTES = 16
 
-Work = Callable[[str, LeaseKeeper], Awaitable[None]]
+Work = Callable[[str, LeaseManager], Awaitable[None]]
 
 
 class Controller:
@@ -44,7 +44,7 @@
         self._list_live = list_live
         self._policy = policy
         self._keepers = {
-            shard: LeaseKeeper(store, shard, name, nonce, policy)
+            shard: LeaseManager(store, shard, name, nonce, policy)
             for shard in shards
         }
 
@@ -59,12 +59,12 @@
                 group.create_task(self._contend(shard, keeper, stop))
 
     async def _contend(
-        self, shard: str, keeper: LeaseKeeper, stop: asyncio.Event
+        self, shard: str, keeper: LeaseManager, stop: asyncio.Event
     ) -> None:
         keeping = asyncio.create_task(keeper.run())
         try:
             while not stop.is_set():
-                keeper.want(*self._choose_claim(shard, None))
+                keeper.set_wanted(*self._choose_claim(shard, None))
                 if keeper.is_held():
                     await self._run_while_held(shard, keeper, stop)
                 await _wait(stop)
@@ -73,7 +73,7 @@
             keeping.cancel()
 
     async def _run_while_held(
-        self, shard: str, keeper: LeaseKeeper, stop: asyncio.Event
+        self, shard: str, keeper: LeaseManager, stop: asyncio.Event
     ) -> None:
         """Work on a shard until its lease ends or is handed over."""
         began = read_clock()
--- a/lagoonpost/controller/order.py
+++ b/lagoonpost/controller/order.py
@@ -9,7 +9,7 @@
 from lagoonpost.http.message import parse_address
 from lagoonpost.runners.engine import EngineOrder, send_order
 from lagoonpost.store.clock import read_clock
-from lagoonpost.store.lease import LeaseKeeper
+from lagoonpost.store.lease import LeaseManager
 from lagoonpost.systems.order import DesiredState, SentOrder, find_due_runners
 from lagoonpost.tables.entity import Runner
 
@@ -24,7 +24,7 @@
         keeper: Keeper of the shard's lease.
     """
 
-    def __init__(self, client: Client, keeper: LeaseKeeper) -> None:
+    def __init__(self, client: Client, keeper: LeaseManager) -> None:
         self._client = client
         self._keeper = keeper
         self._last_orders: dict[str, SentOrder] = {}
--- a/lagoonpost/controller/sweep.py
+++ b/lagoonpost/controller/sweep.py
@@ -16,8 +16,8 @@
 
 import eliot
 
-from lagoonpost.store.lease import LeaseKeeper
-from lagoonpost.store.ledger import sweep
+from lagoonpost.store.lease import LeaseManager
+from lagoonpost.store.ledger import delete_expired
 from lagoonpost.store.store import Store
 
 SHARD = "ledger-sweep"
@@ -27,7 +27,7 @@
 
 async def sweep_ledger(
     store: Store,
-    keeper: LeaseKeeper,
+    keeper: LeaseManager,
     page_seconds: float = PAGE_SECONDS,
     round_seconds: float = ROUND_SECONDS,
 ) -> None:
@@ -44,7 +44,7 @@
     """
     after = ""
     while keeper.is_held():
-        reached = await sweep(store, after)
+        reached = await delete_expired(store, after)
         if reached == "":
             eliot.log_message(message_type="lagoonpost:controller:swept")
         # After an outage the round resumes at the same row.
--- a/lagoonpost/forwarding/attempt.py
+++ b/lagoonpost/forwarding/attempt.py
@@ -7,10 +7,10 @@
 from lagoonpost.http.client import CallFailedError, Client, Stream
 from lagoonpost.http.message import Headers, Request, Response
 from lagoonpost.platform.headers import (
-    Instructions,
+    AddedHeaders,
     is_answer_to,
     is_not_run,
-    make_forwarded,
+    make_request_headers,
 )
 from lagoonpost.tables.endpoint import Endpoint
 from lagoonpost.tables.kv_copy import KvCopy
@@ -139,7 +139,7 @@
     endpoint: Endpoint,
     request: Request,
     request_id: str,
-    instructions: Instructions,
+    instructions: AddedHeaders,
     first_byte_timeout: float | None,
 ) -> Outcome:
     """Send a request over a new connection and read the start of its answer.
@@ -167,7 +167,7 @@
             request.method,
             request.target,
             request.body,
-            make_forwarded(request.headers, instructions),
+            make_request_headers(request.headers, instructions),
             fresh=True,
             connect_seconds=CONNECT_TIMEOUT_SECONDS,
         )
--- a/lagoonpost/forwarding/cluster_state.py
+++ b/lagoonpost/forwarding/cluster_state.py
@@ -14,10 +14,10 @@
 import eliot
 
 from lagoonpost.platform.configuration import (
-    UnreadableError,
+    InvalidRowError,
     decode_configuration,
 )
-from lagoonpost.platform.endpoint import decode_endpoint, decode_order
+from lagoonpost.platform.endpoint import decode_endpoint, decode_sequence
 from lagoonpost.systems.route import RouteTable
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.endpoint import Endpoint
@@ -97,7 +97,7 @@
         """
         try:
             configuration = decode_configuration(raw)
-        except UnreadableError as error:
+        except InvalidRowError as error:
             eliot.log_message(
                 message_type="lagoonpost:belief:unreadable",
                 source=source,
@@ -142,7 +142,7 @@
         if raw is not None:
             try:
                 endpoint = decode_endpoint(key, raw)
-            except UnreadableError as error:
+            except InvalidRowError as error:
                 eliot.log_message(
                     message_type="lagoonpost:belief:unreadable",
                     source=source,
@@ -273,7 +273,7 @@
         return False
     if raw == current.last_raw:
         return True
-    known, found = decode_order(current.last_raw), decode_order(raw)
+    known, found = decode_sequence(current.last_raw), decode_sequence(raw)
     return known is not None and found is not None and found < known
 
 
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -35,7 +35,7 @@
 from lagoonpost.http.responder import Limits
 from lagoonpost.http.server import Server
 from lagoonpost.peers.node import make_clock
-from lagoonpost.platform.cloud import CloudCalls
+from lagoonpost.platform.cloud import CloudClient
 from lagoonpost.platform.settings import HostSettings
 from lagoonpost.platform.store import PlatformStore
 from lagoonpost.store.clock import read_clock
@@ -172,14 +172,14 @@
             self._duties = LeaderDuties(
                 settings,
                 self._store,
-                CloudCalls(self._client, settings.cloud),
+                CloudClient(self._client, settings.cloud),
                 self.view,
                 self._cluster,
                 wall_clock,
                 base_runners,
             )
-            self._store.eras.on_era.append(self._duties.handle_new_era)
-        self._store.eras.on_era += [
+            self._store.eras.era_listeners.append(self._duties.handle_new_era)
+        self._store.eras.era_listeners += [
             self.view.handle_new_era,
             self._follower.handle_new_era,
             self._cluster.handle_new_era,
--- a/lagoonpost/forwarding/duties.py
+++ b/lagoonpost/forwarding/duties.py
@@ -15,11 +15,11 @@
 from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.peer_sync import PeerSync
 from lagoonpost.forwarding.timers import sleep_aligned
-from lagoonpost.platform.cloud import CloudCalls, CloudOutcome, Duty
+from lagoonpost.platform.cloud import CloudClient, CloudOutcome, Duty
 from lagoonpost.platform.settings import HostSettings
 from lagoonpost.platform.store import PlatformStore
 from lagoonpost.store.clock import read_clock
-from lagoonpost.store.lease import LeaseKeeper
+from lagoonpost.store.lease import LeaseManager
 from lagoonpost.store.store import (
     Committed,
     Condition,
@@ -80,7 +80,7 @@
         self,
         settings: HostSettings,
         store: PlatformStore,
-        cloud: CloudCalls,
+        cloud: CloudClient,
         cluster: ClusterState,
         peer_sync: PeerSync,
         wall_clock: Callable[[], float],
@@ -103,7 +103,7 @@
             order=LATE_CALL_SECONDS,
             handback_delay=seconds + LEASE_MARGIN_SECONDS,
         )
-        self._lease = LeaseKeeper(
+        self._lease = LeaseManager(
             store, LEASE_NAME, settings.name, peer_sync.reports.run_id, policy
         )
         self._reported: dict[int, bool] = {}
@@ -120,7 +120,7 @@
 
     def handle_new_era(self) -> None:
         """Wait out every possible holder before the lease is taken again."""
-        self._lease.distrust(self._store.eras.era)
+        self._lease.handle_store_restore(self._store.eras.era)
 
     def is_held(self) -> bool:
         """Tell whether this gateway is the leader."""
@@ -134,7 +134,7 @@
 
     async def run(self) -> None:
         """Contend for the lease and do due work until cancelled."""
-        self._lease.want(False)
+        self._lease.set_wanted(False)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._lease.run())
             group.create_task(self._contend())
@@ -146,7 +146,7 @@
     def leave(self) -> None:
         """Start no more work, as this process is about to end."""
         self._leaving = True
-        self._lease.want(False)
+        self._lease.set_wanted(False)
 
     async def release(self) -> None:
         """Release the lease before this process ends."""
@@ -158,7 +158,7 @@
         while True:
             roles = self._peer_sync.find_roles()
             before, wanted = wanted, self._may_contend(roles)
-            self._lease.want(wanted)
+            self._lease.set_wanted(wanted)
             if wanted != before:
                 eliot.log_message(
                     message_type="lagoonpost:duties:contend",
--- a/lagoonpost/forwarding/forwarder.py
+++ b/lagoonpost/forwarding/forwarder.py
@@ -35,11 +35,11 @@
 from lagoonpost.http.message import Request, Response
 from lagoonpost.http.responder import Responder
 from lagoonpost.platform.headers import (
-    Instructions,
-    make_returned,
-    read_arrival,
+    AddedHeaders,
+    make_response_headers,
+    parse_request_headers,
 )
-from lagoonpost.platform.memory import RunMemory
+from lagoonpost.platform.kv_cache import KvCacheClient
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.systems.budget import RetryBudget
 from lagoonpost.systems.placement import Choice, Placement
@@ -107,7 +107,7 @@
         self.migrations = Migrations(
             view,
             self.placement,
-            RunMemory(client),
+            KvCacheClient(client),
             self._take_retry,
             lambda: self._bounds.drain_seconds,
             rng,
@@ -127,7 +127,9 @@
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request."""
         loop = asyncio.get_running_loop()
-        exchange = Exchange(request, read_arrival(request.headers), loop.time)
+        exchange = Exchange(
+            request, parse_request_headers(request.headers), loop.time
+        )
         try:
             if not self._view.loaded.is_set():
                 await self._wait_loaded(exchange.now())
@@ -317,9 +319,9 @@
 
     def _make_instructions(
         self, exchange: Exchange, choice: Choice, saved: KvCopy | None
-    ) -> Instructions:
+    ) -> AddedHeaders:
         workspace = exchange.workspace
-        return Instructions(
+        return AddedHeaders(
             runner=choice.endpoint.id,
             left=exchange.deadline - exchange.now(),
             workspace=workspace.name if workspace else "",
@@ -405,7 +407,7 @@
     async def _send_response(
         self, exchange: Exchange, response: Response, responder: Responder
     ) -> None:
-        headers = make_returned(response.headers)
+        headers = make_response_headers(response.headers)
         await responder.send(response._replace(headers=headers))
         exchange.note_answered(response.status)
 
--- a/lagoonpost/forwarding/migration.py
+++ b/lagoonpost/forwarding/migration.py
@@ -14,7 +14,7 @@
 
 from lagoonpost.forwarding.cluster_state import ClusterState
 from lagoonpost.forwarding.exchange import Exchange
-from lagoonpost.platform.memory import RunMemory
+from lagoonpost.platform.kv_cache import KvCacheClient
 from lagoonpost.systems.migration import (
     Candidate,
     choose_target,
@@ -79,7 +79,7 @@
         self,
         view: ClusterState,
         placement: Placement,
-        memory: RunMemory,
+        memory: KvCacheClient,
         take_retry: Callable[[str], bool],
         get_drain_seconds: Callable[[], float],
         rng: random.Random,
--- a/lagoonpost/forwarding/peer_sync.py
+++ b/lagoonpost/forwarding/peer_sync.py
@@ -352,7 +352,7 @@
         """Return the seconds between store reads; None for no reads."""
         roles = self.find_roles()
         heard = self.reports.find_contact_ages()
-        bound = self._bounds.news_seconds
+        bound = self._bounds.propagation_seconds
         if not should_read_store(self._settings.name, roles, heard, bound):
             return None
         return MESH_READ_PAUSE_SECONDS if roles.mesh else READER_PAUSE_SECONDS
--- a/lagoonpost/forwarding/quota_recorder.py
+++ b/lagoonpost/forwarding/quota_recorder.py
@@ -116,7 +116,7 @@
     def _make_record(self, name: str, alone: bool, now: float) -> _Record:
         gateways = 0 if alone else self._peer_sync.count_gateways()
         use = self._quotas.make_record(name, gateways, now)
-        return _Record(name, self._store.clock.find_now() or 0.0, use)
+        return _Record(name, self._store.clock.estimate_now() or 0.0, use)
 
     async def _read(self) -> None:
         """Read the records, unless a hub's summary already has the use."""
@@ -128,7 +128,7 @@
                 self._quotas.prior_usage.load_records({}, read_clock())
                 return
             rows = await self._store.scan(BURST_PREFIX)
-            now = self._store.clock.find_now()
+            now = self._store.clock.estimate_now()
             if not isinstance(rows, Unavailable) and now is not None:
                 self._note_versions(rows)
                 self._apply_rows(rows, now)
--- a/lagoonpost/forwarding/relay.py
+++ b/lagoonpost/forwarding/relay.py
@@ -12,7 +12,7 @@
 from lagoonpost.forwarding.migration import Migrations
 from lagoonpost.http.events import EventCutter, RawEvent
 from lagoonpost.http.responder import Responder
-from lagoonpost.platform.headers import make_returned
+from lagoonpost.platform.headers import make_response_headers
 from lagoonpost.systems.placement import Choice
 
 STREAM_IDLE_TIMEOUT_SECONDS = 1.2
@@ -85,5 +85,5 @@
         return
     if not responder.started:
         exchange.note_first_byte()
-        await responder.start(call.status, make_returned(call.headers))
+        await responder.start(call.status, make_response_headers(call.headers))
     await responder.write(b"".join(event.data for event in new_events))
--- a/lagoonpost/forwarding/store_follower.py
+++ b/lagoonpost/forwarding/store_follower.py
@@ -14,7 +14,7 @@
     CONFIGURATION_KEY,
     CONFIGURATION_TABLE,
     ENDPOINT_TABLE,
-    FEED_SLACK_SECONDS,
+    FEED_TIMEOUT_MARGIN_SECONDS,
     FeedRow,
     HistoryLost,
     Page,
@@ -54,7 +54,7 @@
         contact: Seconds after a disturbance in which the bounds are waived.
         pause: Seconds before the call in which changes are batched.
     """
-    wait = contact - pause - FEED_SLACK_SECONDS - MARGIN_SECONDS
+    wait = contact - pause - FEED_TIMEOUT_MARGIN_SECONDS - MARGIN_SECONDS
     return min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, wait))
 
 
--- a/lagoonpost/forwarding/version_shifts.py
+++ b/lagoonpost/forwarding/version_shifts.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from lagoonpost.forwarding.timers import sleep_aligned
-from lagoonpost.platform.configuration import UnreadableError
+from lagoonpost.platform.configuration import InvalidRowError
 from lagoonpost.platform.rollout import (
     ORDER_PREFIX,
-    decode_end,
+    decode_final_phase,
     decode_order,
-    make_status,
+    format_status,
 )
 from lagoonpost.platform.store import FeedRow, PlatformStore
 from lagoonpost.store.clock import read_clock
@@ -124,7 +124,7 @@
             return
         try:
             order = decode_order(row.value, row.version)
-        except UnreadableError as error:
+        except InvalidRowError as error:
             eliot.log_message(
                 message_type="lagoonpost:shift:unreadable", detail=str(error)
             )
@@ -337,13 +337,14 @@
         order, written = shift.order, shift.written_phase
         if written in FINAL_PHASES or (
             written is not None
-            and make_status(order, written) == make_status(order, shift.phase)
+            and format_status(order, written)
+            == format_status(order, shift.phase)
         ):
             return
         row = await store.read_status(key)
         if isinstance(row, Unavailable) or not may_go_on():
             return
-        end = decode_end(row.value, shift.order) if row.value else None
+        end = decode_final_phase(row.value, shift.order) if row.value else None
         if end is not None:
             # Only the end of this order counts. A repeated order to the same
             # version can't be told apart and counts as ended as well.
@@ -352,7 +353,7 @@
             shift.written_phase = end
             return
         phase = shift.phase
-        status = make_status(shift.order, phase)
+        status = format_status(shift.order, phase)
         outcome = await store.write_status(key, row.version, status)
         if isinstance(outcome, Committed):
             shift.written_phase = phase
--- a/lagoonpost/forwarding/watchers.py
+++ b/lagoonpost/forwarding/watchers.py
@@ -9,8 +9,8 @@
 from lagoonpost.platform.settings import (
     HostSettings,
     SettingsError,
-    read_change_time,
     read_host_settings,
+    read_modification_time,
 )
 from lagoonpost.store.clock import read_clock
 
@@ -44,7 +44,7 @@
     ) -> None:
         self._path = path
         self._on_change = on_change
-        self._read_at = read_change_time(path)
+        self._read_at = read_modification_time(path)
         self.settings = read_host_settings(path)
 
     def reload(self) -> None:
@@ -54,7 +54,7 @@
         in the middle of a write, and a gateway that exited because of it
         would cut off its callers.
         """
-        self._read_at = read_change_time(self._path)
+        self._read_at = read_modification_time(self._path)
         try:
             settings = read_host_settings(self._path)
         except SettingsError as error:
@@ -79,7 +79,7 @@
         """Poll for changes that no signal announces, until cancelled."""
         while True:
             await sleep_aligned(SETTINGS_POLL_SECONDS)
-            if read_change_time(self._path) != self._read_at:
+            if read_modification_time(self._path) != self._read_at:
                 self.reload()
 
 
--- a/lagoonpost/gateway/booking.py
+++ b/lagoonpost/gateway/booking.py
@@ -12,7 +12,7 @@
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Headers, Response, parse_address
 from lagoonpost.runners.plain import call_once
-from lagoonpost.store.ledger import PREFIX, Ledger
+from lagoonpost.store.ledger import LEDGER_PREFIX, Ledger
 from lagoonpost.systems.backoff import compute_outage_delay
 from lagoonpost.systems.booking import (
     Answered,
@@ -82,7 +82,7 @@
                 both on the first attempt.
         """
         dispatcher = _Dispatcher(self._client, call, place)
-        outcome = await self._ledger.take(
+        outcome = await self._ledger.run_booking(
             make_row_key(call), make_digest(call), call.timeout, dispatcher
         )
         answer = make_response(self._add_jitter(outcome), time.time())
@@ -94,7 +94,9 @@
             return outcome
         # Without jitter all callers refused during an outage would retry in
         # the same second and overload the store as it recovers.
-        delay = compute_outage_delay(self._ledger.count_outage(), self._rng)
+        delay = compute_outage_delay(
+            self._ledger.get_outage_seconds(), self._rng
+        )
         return STORE_DOWN._replace(retry_after=delay)
 
     async def close(self, grace: float) -> None:
@@ -153,7 +155,7 @@
     if call.key is None:
         kind, key = ("request", call.request_id)
     digest = hashlib.sha256(f"{kind} {key}".encode()).hexdigest()
-    return f"{PREFIX}{call.workspace}/{digest}"
+    return f"{LEDGER_PREFIX}{call.workspace}/{digest}"
 
 
 def make_digest(call: BookingCall) -> str:
--- a/lagoonpost/gateway/daemon.py
+++ b/lagoonpost/gateway/daemon.py
@@ -24,8 +24,8 @@
 from lagoonpost.settings import GatewaySettings
 from lagoonpost.store.ledger import Ledger
 from lagoonpost.store.table import TableStore
-from lagoonpost.store.ticket import Intake
-from lagoonpost.store.watch import Watch
+from lagoonpost.store.ticket import TicketStore
+from lagoonpost.store.watch import DeclarationWatch
 from lagoonpost.systems.event import Declared
 from lagoonpost.tables.entity import Declaration
 
@@ -53,7 +53,7 @@
         gateway = self._gateway = Gateway(settings)
         store = TableStore(gateway.client, settings.platform)
         self._peering = Peering(settings, gateway)
-        self._watch = Watch(
+        self._watch = DeclarationWatch(
             store, self._apply_declaration, self._peering.fetch_snapshots
         )
         self._peering.set_watch(self._watch)
@@ -62,7 +62,7 @@
             Ledger(store, settings.name), gateway.client, gateway.rng
         )
         gateway.tickets = TicketHandlers(
-            Intake(store), self._watch, self._peering.publish_revision
+            TicketStore(store), self._watch, self._peering.publish_revision
         )
         self._notices = NoticeWatch(
             gateway,
--- a/lagoonpost/gateway/peering.py
+++ b/lagoonpost/gateway/peering.py
@@ -14,7 +14,7 @@
 from lagoonpost.peers.message import Document, HandOver
 from lagoonpost.peers.node import Peers, PeerSettings
 from lagoonpost.settings import GatewaySettings
-from lagoonpost.store.watch import PEER_SECONDS, Watch
+from lagoonpost.store.watch import PEER_TIMEOUT_SECONDS, DeclarationWatch
 from lagoonpost.systems.event import GatewaysChanged
 from lagoonpost.tables.fact import Fact
 from lagoonpost.tables.peer import Member
@@ -26,7 +26,7 @@
 MAX_SNAPSHOT_PEERS = 3
 # Less than the watch waits for all fetches together, so that one silent peer
 # does not discard the replies of the others.
-FETCH_TIMEOUT_SECONDS = 0.8 * PEER_SECONDS
+FETCH_TIMEOUT_SECONDS = 0.8 * PEER_TIMEOUT_SECONDS
 LEAVING_TTL_SECONDS = 3600.0
 HANDED_OVER_TTL_SECONDS = 600.0
 
@@ -45,7 +45,7 @@
     def __init__(self, settings: GatewaySettings, gateway: Gateway) -> None:
         self._settings = settings
         self._gateway = gateway
-        self._watch: Watch | None = None
+        self._watch: DeclarationWatch | None = None
         self.peers: Peers
         self._accepted_by = ""
         gateway.quarantine = QuarantineTracker(gateway, self.publish)
@@ -56,7 +56,7 @@
             "runner_leaving": self._handle_runner_leaving,
         }
 
-    def set_watch(self, watch: Watch) -> None:
+    def set_watch(self, watch: DeclarationWatch) -> None:
         """Set the watch that is notified of newer revisions."""
         self._watch = watch
 
@@ -167,7 +167,7 @@
         return msgspec.msgpack.decode(found[-1].body, type=Snapshot)
 
     def _list_documents(self, kind: str, after: int) -> Sequence[Document]:
-        snapshot = self._watch.answer_peer() if self._watch else None
+        snapshot = self._watch.get_current_snapshot() if self._watch else None
         if kind != SNAPSHOT or snapshot is None:
             return ()
         if snapshot.revision <= after:
@@ -202,7 +202,7 @@
     def _handle_revision(self, fact: Fact) -> None:
         self._accepted_by = fact.body.decode()
         if self._watch is not None:
-            self._watch.hear(fact.rank)
+            self._watch.observe_revision(fact.rank)
 
     def _handle_runner_leaving(self, fact: Fact) -> None:
         deadline = msgspec.msgpack.decode(fact.body, type=float)
--- a/lagoonpost/gateway/reclaim.py
+++ b/lagoonpost/gateway/reclaim.py
@@ -7,7 +7,7 @@
 import eliot
 
 from lagoonpost.gateway.state import Gateway
-from lagoonpost.store.cloud import Notice, fetch_notices
+from lagoonpost.store.reclaim_notices import ReclaimNotice, fetch_notices
 from lagoonpost.store.store import Unavailable
 from lagoonpost.systems.event import Leaving
 
@@ -41,7 +41,7 @@
         self._host = host
         self._on_runner = on_runner
         self._on_own_host = on_own_host
-        self._seen: set[Notice] = set()
+        self._seen: set[ReclaimNotice] = set()
         self._notified: set[tuple[str, float]] = set()
 
     async def run(self) -> None:
@@ -54,7 +54,7 @@
                     self._handle_notice(notice)
             await asyncio.sleep(POLL_SECONDS)
 
-    def _handle_notice(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: ReclaimNotice) -> None:
         left = notice.deadline - time.time()
         if left < -EXPIRED_NOTICE_SECONDS:
             return
--- a/lagoonpost/gateway/tickets.py
+++ b/lagoonpost/gateway/tickets.py
@@ -16,8 +16,8 @@
 )
 from lagoonpost.store.declaration import format_record
 from lagoonpost.store.store import Unavailable
-from lagoonpost.store.ticket import Intake
-from lagoonpost.store.watch import Watch
+from lagoonpost.store.ticket import TicketStore
+from lagoonpost.store.watch import DeclarationWatch
 from lagoonpost.systems.ticket import find_unreachable_deadlines
 from lagoonpost.tables.ticket import (
     Accepted,
@@ -55,8 +55,8 @@
 
     def __init__(
         self,
-        intake: Intake,
-        watch: Watch,
+        intake: TicketStore,
+        watch: DeclarationWatch,
         publish: Callable[[TicketRecord], None],
         clock: Callable[[], float] = time.time,
     ) -> None:
@@ -90,7 +90,7 @@
             return _make_response(invalid)
         outcome = await self._intake.submit(ticket, operator)
         if isinstance(outcome, Accepted):
-            self._watch.take(outcome.record)
+            self._watch.apply_ticket(outcome.record)
             self._publish(outcome.record)
             near = find_unreachable_deadlines(ticket, self._clock())
             return _make_accepted(outcome.record, near)
--- a/lagoonpost/platform/cloud.py
+++ b/lagoonpost/platform/cloud.py
@@ -8,7 +8,7 @@
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address
 
-CLOUD_SECONDS = 2.0
+CLOUD_TIMEOUT_SECONDS = 2.0
 """Longest wait; a call without an answer is repeated as it was."""
 
 CloudOutcome = Literal["done", "fenced", "refused", "unknown"]
@@ -29,7 +29,7 @@
     may_send: Callable[[], bool]
 
 
-class CloudCalls:
+class CloudClient:
     """Usage reports and orders of runners.
 
     Args:
@@ -79,7 +79,7 @@
                 path,
                 msgspec.json.encode(body),
                 headers,
-                timeout=CLOUD_SECONDS,
+                timeout=CLOUD_TIMEOUT_SECONDS,
                 fresh=True,
                 may_send=duty.may_send,
             )
--- a/lagoonpost/platform/configuration.py
+++ b/lagoonpost/platform/configuration.py
@@ -20,10 +20,10 @@
     "unsafe": "unsafe",
     "streaming": "stream",
 }
-MILLISECONDS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
-class UnreadableError(ValueError):
+class InvalidRowError(ValueError):
     """A row of the store that does not hold what it should."""
 
 
@@ -42,7 +42,7 @@
         ValueError,
         AttributeError,
     ) as error:
-        raise UnreadableError(f"configuration: {error!r}") from error
+        raise InvalidRowError(f"configuration: {error!r}") from error
 
 
 def _decode(value: dict[str, Any]) -> Configuration:
@@ -72,13 +72,14 @@
             TrafficShare(str(each["service"]), float(each["weight"]))
             for each in split
         ),
-        timeout=timeout / MILLISECONDS,
-        target=float(value.get("target_latency_ms") or timeout) / MILLISECONDS,
+        timeout=timeout / MS_PER_SECOND,
+        target=float(value.get("target_latency_ms") or timeout)
+        / MS_PER_SECOND,
         max_attempts=int(value.get("max_attempts") or 1),
         priority=int(value.get("priority") or 0),
         public=bool(value.get("public")),
         resumable=bool(value.get("stream_resume")),
-        gap=float(value.get("gap_target_ms") or 0) / MILLISECONDS,
+        gap=float(value.get("gap_target_ms") or 0) / MS_PER_SECOND,
     )
 
 
@@ -127,7 +128,7 @@
         head=int(value.get("max_header_bytes") or default.head),
         body=int(value.get("max_body_bytes") or default.body),
         head_seconds=float(value.get("header_timeout_ms") or 3000)
-        / MILLISECONDS,
+        / MS_PER_SECOND,
         idle_seconds=float(value.get("idle_timeout_ms") or 15000)
-        / MILLISECONDS,
+        / MS_PER_SECOND,
     )
--- a/lagoonpost/platform/endpoint.py
+++ b/lagoonpost/platform/endpoint.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from lagoonpost.http.message import parse_address
-from lagoonpost.platform.configuration import MILLISECONDS, UnreadableError
+from lagoonpost.platform.configuration import MS_PER_SECOND, InvalidRowError
 from lagoonpost.tables.endpoint import Endpoint
 
 _STATES = {"ready": False, "draining": True}
@@ -36,7 +36,7 @@
 _decoder = msgspec.json.Decoder(_Entry, strict=True)
 
 
-def decode_order(body: bytes) -> tuple[int, int] | None:
+def decode_sequence(body: bytes) -> tuple[int, int] | None:
     """Return a runner's start and count, which order all that it wrote."""
     try:
         place = msgspec.json.decode(body, type=_Place)
@@ -65,8 +65,8 @@
             spot=entry.spot,
             leaves_in_seconds=None
             if entry.leaves_ms is None
-            else entry.leaves_ms / MILLISECONDS,
+            else entry.leaves_ms / MS_PER_SECOND,
             born=entry.born,
         )
     except (msgspec.DecodeError, ValueError, KeyError) as error:
-        raise UnreadableError(f"runner {key}: {error!r}") from error
+        raise InvalidRowError(f"runner {key}: {error!r}") from error
--- a/lagoonpost/platform/headers.py
+++ b/lagoonpost/platform/headers.py
@@ -8,19 +8,19 @@
 
 REQUEST_ID = "attempt-id"
 DEADLINE = "deadline-ms"
-KEY = "authorization"
-KEY_SCHEME = "bearer "
+AUTHORIZATION = "authorization"
+BEARER = "bearer "
 WORKSPACE = "tenant"
 EXPECTED_RUNNER = "target-instance"
-NOT_RUN = "not-executed"
+NOT_EXECUTED = "not-executed"
 SIGNATURE = "response-signature"
-TOKENS = "token-count"
-PROMPT = "prompt-prefix"
+TOKEN_COUNT = "token-count"
+PROMPT_PREFIX = "prompt-prefix"
 MODEL = "model"
 LAST_EVENT = "last-event-id"
 URGENCY = "request-urgency"
 SAVED_RUN = "kv-from"
-HOLDER = "kv-fetch"
+CACHE_HOLDER = "kv-fetch"
 LENGTH_HINT = "length-hint"
 READY_PATH = "/v1/ready"
 RESOLVE_PATH = "/v1/resolve"
@@ -41,7 +41,7 @@
         "upgrade",
         "content-length",
         "expect",
-        KEY,
+        AUTHORIZATION,
         DEADLINE,
         WORKSPACE,
         EXPECTED_RUNNER,
@@ -50,7 +50,7 @@
         "expect-version",
         "pin-ms",
         "kv-hold",
-        HOLDER,
+        CACHE_HOLDER,
         SAVED_RUN,
         "kv-backup",
     }
@@ -68,7 +68,7 @@
 )
 
 
-class Instructions(NamedTuple):
+class AddedHeaders(NamedTuple):
     """What we tell a runner besides the caller's own headers.
 
     Attributes:
@@ -91,22 +91,22 @@
     holder: Address | None = None
 
 
-def read_arrival(headers: Headers) -> RequestMetadata:
+def parse_request_headers(headers: Headers) -> RequestMetadata:
     """Decode what a caller says of its request."""
-    key = find_header(headers, KEY) or ""
-    scheme, token = key[: len(KEY_SCHEME)], key[len(KEY_SCHEME) :].strip()
+    key = find_header(headers, AUTHORIZATION) or ""
+    scheme, token = key[: len(BEARER)], key[len(BEARER) :].strip()
     return RequestMetadata(
         id=find_header(headers, REQUEST_ID) or "",
         host=(find_header(headers, "host") or "").lower(),
-        key=token if scheme.lower() == KEY_SCHEME else "",
+        key=token if scheme.lower() == BEARER else "",
         left=_read_milliseconds(find_header(headers, DEADLINE)),
-        tokens=_read_tokens(find_header(headers, TOKENS)),
-        parts=_read_parts(find_header(headers, PROMPT)),
+        tokens=_read_tokens(find_header(headers, TOKEN_COUNT)),
+        parts=_read_parts(find_header(headers, PROMPT_PREFIX)),
         last_event=find_header(headers, LAST_EVENT) or "",
     )
 
 
-def make_forwarded(headers: Headers, told: Instructions) -> Headers:
+def make_request_headers(headers: Headers, told: AddedHeaders) -> Headers:
     """Return the headers for the runner.
 
     Args:
@@ -132,11 +132,11 @@
         place = f"{told.saved.source}/{told.saved.handle}"
         own.append((SAVED_RUN, place))
     elif told.holder is not None:
-        own.append((HOLDER, str(told.holder)))
+        own.append((CACHE_HOLDER, str(told.holder)))
     return (*kept, *own)
 
 
-def make_returned(headers: Headers) -> Headers:
+def make_response_headers(headers: Headers) -> Headers:
     """Return a runner's headers as the caller is to get them."""
     listed = _list_hop_headers(headers)
     return tuple(
@@ -150,7 +150,7 @@
     """Tell whether a runner says that it did not run the request."""
     if status == MISDIRECTED:
         return True
-    return find_header(headers, NOT_RUN) is not None
+    return find_header(headers, NOT_EXECUTED) is not None
 
 
 def is_answer_to(headers: Headers, request_id: str) -> bool:
--- a/lagoonpost/platform/memory.py
+++ b/lagoonpost/platform/kv_cache.py
@@ -15,7 +15,7 @@
 
 COPY_PATH = "/v1/kv-move"
 FREE_PATH = "/v1/kv-handle/"
-COPY_SECONDS = 1.0
+COPY_TIMEOUT_SECONDS = 1.0
 """Longest wait for a copy: a run of 12,000 tokens takes some ten milliseconds,
 and those of a whole runner wait for each other."""
 
@@ -24,7 +24,7 @@
     handle: str = ""
 
 
-class RunMemory:
+class KvCacheClient:
     """Copies the memory of runs.
 
     Args:
@@ -55,7 +55,7 @@
                 COPY_PATH,
                 msgspec.json.encode(body),
                 (("content-type", "application/json"),),
-                timeout=COPY_SECONDS,
+                timeout=COPY_TIMEOUT_SECONDS,
                 fresh=True,
             )
         except CallFailedError as error:
@@ -72,7 +72,7 @@
                 saved.source,
                 "DELETE",
                 f"{FREE_PATH}{saved.handle}",
-                timeout=COPY_SECONDS,
+                timeout=COPY_TIMEOUT_SECONDS,
                 fresh=True,
             )
         except CallFailedError:
--- a/lagoonpost/platform/rollout.py
+++ b/lagoonpost/platform/rollout.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from lagoonpost.platform.configuration import UnreadableError
+from lagoonpost.platform.configuration import InvalidRowError
 from lagoonpost.tables.version_shift import ShiftOrder, ShiftPhase
 
 ORDER_PREFIX = "rollout/"
@@ -38,16 +38,16 @@
     try:
         order = msgspec.json.decode(body, type=_Order)
     except msgspec.DecodeError as error:
-        raise UnreadableError(f"rollout: {error}") from error
+        raise InvalidRowError(f"rollout: {error}") from error
     return ShiftOrder(order.service, order.to, order.duration_s, number)
 
 
-def make_status(order: ShiftOrder, phase: ShiftPhase) -> dict[str, str]:
+def format_status(order: ShiftOrder, phase: ShiftPhase) -> dict[str, str]:
     """Return what operators are told of an order."""
     return {"state": _STATES[phase], "to": order.to}
 
 
-def decode_end(body: bytes, order: ShiftOrder) -> ShiftPhase | None:
+def decode_final_phase(body: bytes, order: ShiftOrder) -> ShiftPhase | None:
     """Return how an order has ended by what operators were told before.
 
     Returns:
--- a/lagoonpost/platform/settings.py
+++ b/lagoonpost/platform/settings.py
@@ -50,7 +50,7 @@
     exposure_slack: float = 50.0
 
     @property
-    def news_seconds(self) -> float:
+    def propagation_seconds(self) -> float:
         """Time in which any news of the store must be known."""
         return min(self.apply_seconds, self.drain_seconds)
 
@@ -97,7 +97,7 @@
     """The settings file can't be used; the text names file and field."""
 
 
-def read_change_time(path: str) -> float:
+def read_modification_time(path: str) -> float:
     """Return when the settings file changed last; 0 if it can't be seen."""
     try:
         return os.stat(path).st_mtime
--- a/lagoonpost/platform/store.py
+++ b/lagoonpost/platform/store.py
@@ -10,7 +10,7 @@
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address
 from lagoonpost.store.clock import RemoteClock
-from lagoonpost.store.era import EraWatch
+from lagoonpost.store.era import EraTracker
 from lagoonpost.store.store import (
     Committed,
     Condition,
@@ -29,9 +29,9 @@
 ENDPOINT_TABLE = "servers"
 STATUS_TABLE = "status"
 ERA_HEADER = "store-era"
-STORE_SECONDS = 1.0
+STORE_TIMEOUT_SECONDS = 1.0
 """Longest wait for an answer: 250 times the store's usual one."""
-FEED_SLACK_SECONDS = 1.0
+FEED_TIMEOUT_MARGIN_SECONDS = 1.0
 """Longest wait for a feed's answer beyond the wait that was asked for."""
 PAGE_ROWS = 500
 """Most rows that the store gives in one answer."""
@@ -59,7 +59,7 @@
     """The feed no longer reaches back to the version asked for."""
 
 
-class Answer(NamedTuple):
+class StoreReply(NamedTuple):
     """What the store answered, and in which era."""
 
     status: int
@@ -104,9 +104,9 @@
         self._address = address
         self._traffic = traffic or ControlTraffic()
         self.clock = RemoteClock()
-        self.eras = EraWatch()
+        self.eras = EraTracker()
 
-    def _decode(self, answer: Answer) -> _WireRows:
+    def _decode(self, answer: StoreReply) -> _WireRows:
         page = _decode_rows(answer.body)
         if page.now_ms is not None:
             self.clock.note(page.now_ms / 1000)
@@ -268,7 +268,7 @@
         answer = await self._call(
             "GET",
             f"/v1/rows-feed?{query}",
-            timeout=wait + FEED_SLACK_SECONDS,
+            timeout=wait + FEED_TIMEOUT_MARGIN_SECONDS,
             purpose=f"follow {_name_table(table)}",
         )
         if isinstance(answer, Unavailable):
@@ -291,10 +291,10 @@
         method: str,
         target: str,
         body: bytes = b"",
-        timeout: float = STORE_SECONDS,
+        timeout: float = STORE_TIMEOUT_SECONDS,
         *,
         purpose: str,
-    ) -> Answer | Unavailable:
+    ) -> StoreReply | Unavailable:
         self._traffic.note(purpose, "sent", len(target) + len(body))
         known = self.eras.era
         try:
@@ -310,10 +310,10 @@
             applied = None if error.sent else False
             return Unavailable(str(error), applied=applied)
         self._traffic.note(purpose, "received", len(response.body))
-        era = self.eras.read(response.header(ERA_HEADER), known)
+        era = self.eras.check_reply(response.header(ERA_HEADER), known)
         if era is None:
             return Unavailable("a late answer of an earlier era")
-        return Answer(response.status, response.body, era)
+        return StoreReply(response.status, response.body, era)
 
 
 _TABLE_NAMES = {
--- a/lagoonpost/store/clock.py
+++ b/lagoonpost/store/clock.py
@@ -22,6 +22,6 @@
         """Take the time that an answer names."""
         self._ahead = seconds - read_clock()
 
-    def find_now(self) -> float | None:
+    def estimate_now(self) -> float | None:
         """Return its seconds now; None if it has not told any."""
         return None if self._ahead is None else self._ahead + read_clock()
--- a/lagoonpost/store/declaration.py
+++ b/lagoonpost/store/declaration.py
@@ -13,16 +13,16 @@
 REVISION_KEY = "revision"
 OBJECT_PREFIX = "object/"
 TICKET_PREFIX = "ticket/"
-RECENT = 64
+RECENT_TICKETS = 64
 """Ticket numbers kept in the revision row.
 
 A watcher that is at most this many revisions behind reads just those
 tickets: at 4,700 a day that is 20 minutes.
 """
-PAGE = 1000
+SCAN_PAGE_ROWS = 1000
 
 
-class Changed(NamedTuple):
+class ReadConflict(NamedTuple):
     """The declaration changed while it was being read."""
 
 
@@ -40,7 +40,7 @@
     version: int
 
 
-class Reading(NamedTuple):
+class ConsistentRead(NamedTuple):
     """One consistent reading of all objects.
 
     Attributes:
@@ -53,7 +53,7 @@
     head: Head
     snapshot: Snapshot
     versions: dict[str, int]
-    held: TicketRecord | None
+    ticket: TicketRecord | None
 
 
 def make_ticket_key(number: int) -> str:
@@ -69,9 +69,9 @@
     return Head(row.value["revision"], recent, row.version)
 
 
-def format_head(head: Head, number: int) -> dict[str, Any]:
+def format_next_head(head: Head, number: int) -> dict[str, Any]:
     """Return the value that follows ``head`` once ``number`` is accepted."""
-    recent = [number, *head.recent][:RECENT]
+    recent = [number, *head.recent][:RECENT_TICKETS]
     return {"revision": head.revision + 1, "recent": recent}
 
 
@@ -127,7 +127,7 @@
 
 async def read_declaration(
     store: Store, number: int = 0
-) -> Reading | Changed | Unavailable:
+) -> ConsistentRead | ReadConflict | Unavailable:
     """Read all objects, and ticket ``number``, as of one moment.
 
     A scan takes several calls, and a ticket may commit between them. Half
@@ -146,23 +146,23 @@
     if isinstance(ends, Unavailable):
         return ends
     if ends[0].version != head.version:
-        return Changed()
+        return ReadConflict()
     objects, versions = {}, {}
     for row in rows:
         key = row.key.removeprefix(OBJECT_PREFIX)
         objects[key] = ObjectRecord(row.value["ticket"], row.value["state"])
         versions[key] = row.version
     snapshot = Snapshot(head.revision, objects)
-    return Reading(head, snapshot, versions, parse_ticket_row(ends[1]))
+    return ConsistentRead(head, snapshot, versions, parse_ticket_row(ends[1]))
 
 
 async def _scan_objects(store: Store) -> list[Row] | Unavailable:
     rows: list[Row] = []
     while True:
         after = rows[-1].key if rows else ""
-        page = await store.scan(OBJECT_PREFIX, after, PAGE)
+        page = await store.scan(OBJECT_PREFIX, after, SCAN_PAGE_ROWS)
         if isinstance(page, Unavailable):
             return page
         rows += page
-        if len(page) < PAGE:
+        if len(page) < SCAN_PAGE_ROWS:
             return rows
--- a/lagoonpost/store/era.py
+++ b/lagoonpost/store/era.py
@@ -7,7 +7,7 @@
 from lagoonpost.tables.stamp import MAX_ERA
 
 
-class EraWatch:
+class EraTracker:
     """The newest era that is known.
 
     Attributes:
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.era = 0
-        self.on_era: list[Callable[[], None]] = []
+        self.era_listeners: list[Callable[[], None]] = []
         self._complaints: set[str] = set()
 
     def note(self, era: int) -> None:
@@ -28,10 +28,10 @@
             message_type="lagoonpost:store:era", era=era, before=self.era
         )
         self.era = era
-        for told in self.on_era:
+        for told in self.era_listeners:
             told()
 
-    def read(self, text: str | None, sent: int) -> int | None:
+    def check_reply(self, text: str | None, sent: int) -> int | None:
         """Return the era of an answer.
 
         Args:
--- a/lagoonpost/store/group.py
+++ b/lagoonpost/store/group_commit.py
@@ -29,8 +29,8 @@
     Write,
 )
 
-MAX_ROWS = 64
-MAX_BYTES = 1024 * 1024
+MAX_BATCH_ROWS = 64
+MAX_BATCH_BYTES = 1024 * 1024
 
 RowOutcome = Row | Conflict | Unavailable
 
@@ -100,10 +100,10 @@
         batch: list[_Waiting] = []
         keys: set[str] = set()
         size = 0
-        while self._waiting and len(batch) < MAX_ROWS:
+        while self._waiting and len(batch) < MAX_BATCH_ROWS:
             head = self._waiting[0]
             if head.write.key in keys or (
-                batch and size + head.size > MAX_BYTES
+                batch and size + head.size > MAX_BATCH_BYTES
             ):
                 break
             batch.append(self._waiting.popleft())
--- a/lagoonpost/store/health.py
+++ b/lagoonpost/store/health.py
@@ -47,7 +47,7 @@
             await self._first_probe.wait()
         return self.state == "up"
 
-    def count_outage(self) -> float:
+    def get_outage_seconds(self) -> float:
         """Return for how many seconds the store has not answered."""
         if self.state == "up":
             return 0.0
--- a/lagoonpost/store/lease.py
+++ b/lagoonpost/store/lease.py
@@ -41,12 +41,12 @@
 )
 from lagoonpost.tables.lease import LeaseRow
 
-PREFIX = "lease/"
-POLL_SECONDS = 0.01
+LEASE_PREFIX = "lease/"
+RELEASE_POLL_SECONDS = 0.01
 DEFAULT_POLICY = LeasePolicy()
 
 
-class Call:
+class LeasedCall:
     """A call that is made by a lease.
 
     Attributes:
@@ -57,7 +57,7 @@
         self.answered = False
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Takes, renews and releases one lease.
 
     Args:
@@ -81,7 +81,7 @@
     ) -> None:
         self.lease = Lease(holder, nonce, policy, started=read_clock())
         self._store = store
-        self._key = PREFIX + name
+        self._key = LEASE_PREFIX + name
         self._changed = asyncio.Event()
 
     def is_held(self) -> bool:
@@ -97,7 +97,7 @@
         """Fencing number of the lease, to be sent with each order."""
         return get_fence(self.lease)
 
-    def distrust(self, era: int) -> None:
+    def handle_store_restore(self, era: int) -> None:
         """Note that the store came back from an older copy.
 
         Args:
@@ -105,7 +105,7 @@
         """
         self.lease = handle_store_rollback(self.lease, era, read_clock())
 
-    def want(self, wanted: bool, delay: float = 0.0) -> None:
+    def set_wanted(self, wanted: bool, delay: float = 0.0) -> None:
         """Ask for the lease, or for its release once work has stopped.
 
         Args:
@@ -117,9 +117,9 @@
             self._changed.set()
 
     @contextmanager
-    def call(self) -> Iterator[Call]:
+    def call(self) -> Iterator[LeasedCall]:
         """Keep the lease from being released while a call is under way."""
-        call = Call()
+        call = LeasedCall()
         sent = read_clock()
         self.lease = begin_call(self.lease)
         try:
@@ -136,11 +136,11 @@
         If that takes long, or the store does not answer for a while, this
         returns before it: the lease is released later, or ends by itself.
         """
-        self.want(False)
+        self.set_wanted(False)
         try:
             async with asyncio.timeout(self.lease.policy.retry):
                 while self._is_ours():  # noqa: ASYNC110
-                    await asyncio.sleep(POLL_SECONDS)
+                    await asyncio.sleep(RELEASE_POLL_SECONDS)
         except TimeoutError:
             pass
 
--- a/lagoonpost/store/ledger.py
+++ b/lagoonpost/store/ledger.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lagoonpost.store.clock import read_clock
-from lagoonpost.store.group import GroupWriter
+from lagoonpost.store.group_commit import GroupWriter
 from lagoonpost.store.health import StoreHealth
 from lagoonpost.store.store import (
     Committed,
@@ -47,7 +47,7 @@
 )
 from lagoonpost.tables.ledger import LedgerEntry
 
-PREFIX = "ledger/"
+LEDGER_PREFIX = "ledger/"
 NONCE_BYTES = 16
 DEFAULT_POLICY = LedgerPolicy()
 
@@ -90,7 +90,7 @@
         self._writer = GroupWriter(store, self._health)
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def take(
+    async def run_booking(
         self, key: str, digest: str, timeout: float, dispatcher: Dispatcher
     ) -> Outcome:
         """Run a booking unless its key has been used, and say what came.
@@ -119,9 +119,9 @@
         outcome: Outcome = await answer
         return outcome
 
-    def count_outage(self) -> float:
+    def get_outage_seconds(self) -> float:
         """Return for how many seconds the store has not answered."""
-        return self._health.count_outage()
+        return self._health.get_outage_seconds()
 
     async def close(self, grace: float) -> None:
         """Let open attempts end within ``grace`` seconds."""
@@ -200,7 +200,9 @@
     return msgspec.convert(value, LedgerEntry)
 
 
-async def sweep(store: Store, after: str, limit: int = 256) -> str | None:
+async def delete_expired(
+    store: Store, after: str, limit: int = 256
+) -> str | None:
     """Delete expired rows of one page of the ledger.
 
     Args:
@@ -212,7 +214,7 @@
         Where this page ended; empty after the last page, None if the store
         gave no answer.
     """
-    rows = await store.scan(PREFIX, after, limit)
+    rows = await store.scan(LEDGER_PREFIX, after, limit)
     if isinstance(rows, Unavailable):
         return None
     versions = {row.key: row.version for row in rows}
--- a/lagoonpost/store/cloud.py
+++ b/lagoonpost/store/reclaim_notices.py
@@ -8,10 +8,10 @@
 from lagoonpost.http.message import Address
 from lagoonpost.store.store import Unavailable
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 
 
-class Notice(NamedTuple):
+class ReclaimNotice(NamedTuple):
     """A host will be reclaimed.
 
     Attributes:
@@ -34,11 +34,11 @@
 
 async def fetch_notices(
     client: Client, address: Address
-) -> tuple[Notice, ...] | Unavailable:
+) -> tuple[ReclaimNotice, ...] | Unavailable:
     """Return the reclaim notices in force."""
     try:
         answer = await client.call(
-            address, "GET", "/v1/notices", timeout=CALL_SECONDS
+            address, "GET", "/v1/notices", timeout=CALL_TIMEOUT_SECONDS
         )
     except CallFailedError as error:
         return Unavailable(str(error))
@@ -48,4 +48,6 @@
         found = msgspec.json.decode(answer.body, type=_NoticesObject).notices
     except msgspec.DecodeError as error:
         return Unavailable(str(error))
-    return tuple(Notice(notice.host, notice.deadline) for notice in found)
+    return tuple(
+        ReclaimNotice(notice.host, notice.deadline) for notice in found
+    )
--- a/lagoonpost/store/store.py
+++ b/lagoonpost/store/store.py
@@ -73,14 +73,14 @@
         """
 
 
-RETRY_SECONDS = 0.25
+MIN_RETRY_SECONDS = 0.25
 """Least time between failing calls: four a second from each gateway."""
 
 
-async def pause_after_failure(spent: float) -> None:
+async def pause_after_failure(call_seconds: float) -> None:
     """Wait before the store is called again.
 
     Args:
         spent: Seconds that the failed call took, which count as waited.
     """
-    await asyncio.sleep(max(0.0, RETRY_SECONDS - spent))
+    await asyncio.sleep(max(0.0, MIN_RETRY_SECONDS - call_seconds))
--- a/lagoonpost/store/table.py
+++ b/lagoonpost/store/table.py
@@ -16,7 +16,7 @@
     Write,
 )
 
-STORE_SECONDS = 2.0
+STORE_TIMEOUT_SECONDS = 2.0
 
 
 class RowObject(TypedDict):
@@ -46,7 +46,7 @@
         self,
         client: Client,
         address: Address,
-        timeout: float = STORE_SECONDS,
+        timeout: float = STORE_TIMEOUT_SECONDS,
     ) -> None:
         self._client = client
         self._address = address
--- a/lagoonpost/store/ticket.py
+++ b/lagoonpost/store/ticket.py
@@ -13,9 +13,9 @@
     OBJECT_PREFIX,
     REVISION_KEY,
     TICKET_PREFIX,
-    Changed,
-    Reading,
-    format_head,
+    ConsistentRead,
+    ReadConflict,
+    format_next_head,
     format_record,
     make_ticket_key,
     parse_ticket_row,
@@ -45,7 +45,7 @@
 can't be told here whether the ticket is under way at another gateway."""
 
 
-class Patience(NamedTuple):
+class RetryPolicy(NamedTuple):
     """How long to try before the operator is told to come back.
 
     Attributes:
@@ -56,21 +56,21 @@
     """
 
     tries: int = 5
-    pause: float = 0.1
+    backoff_seconds: float = 0.1
 
 
-class Intake:
+class TicketStore:
     """Takes tickets on one gateway; any number may work side by side."""
 
     def __init__(
         self,
         store: Store,
-        patience: Patience | None = None,
+        retry_policy: RetryPolicy | None = None,
         clock: Callable[[], float] = time.time,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._store = store
-        self._patience = patience or Patience()
+        self._patience = retry_policy or RetryPolicy()
         self._clock = clock
         self._sleep = sleep
 
@@ -114,9 +114,11 @@
         detail = ""
         for turn in range(self._patience.tries):
             if turn:
-                await self._sleep(self._patience.pause * 2 ** (turn - 1))
+                await self._sleep(
+                    self._patience.backoff_seconds * 2 ** (turn - 1)
+                )
             reading = await read_declaration(self._store, ticket.number)
-            if isinstance(reading, Changed):
+            if isinstance(reading, ReadConflict):
                 detail = "other tickets were accepted meanwhile"
                 continue
             if isinstance(reading, Unavailable):
@@ -124,7 +126,7 @@
                 continue
             doubt.clear(reading.head.version)
             verdict = evaluate_ticket(
-                ticket, digest, reading.snapshot, reading.held
+                ticket, digest, reading.snapshot, reading.ticket
             )
             if isinstance(verdict, Accepted | Refused):
                 return verdict
@@ -140,7 +142,7 @@
         ticket: Ticket,
         digest: str,
         operator: str,
-        reading: Reading,
+        reading: ConsistentRead,
         verdict: Committable,
         doubt: "_Doubt",
     ) -> str:
@@ -200,7 +202,9 @@
     return hashlib.sha256(content).hexdigest()
 
 
-def _list_conditions(ticket: Ticket, reading: Reading) -> list[Condition]:
+def _list_conditions(
+    ticket: Ticket, reading: ConsistentRead
+) -> list[Condition]:
     # The revision row alone would do. The ticket and its objects are named
     # as well, so that a row repaired by hand is not overwritten unseen.
     return [
@@ -213,9 +217,9 @@
     ]
 
 
-def _list_writes(record: TicketRecord, reading: Reading) -> list[Write]:
+def _list_writes(record: TicketRecord, reading: ConsistentRead) -> list[Write]:
     return [
-        Write(REVISION_KEY, format_head(reading.head, record.number)),
+        Write(REVISION_KEY, format_next_head(reading.head, record.number)),
         Write(make_ticket_key(record.number), format_record(record)),
         *(
             Write(
--- a/lagoonpost/store/watch.py
+++ b/lagoonpost/store/watch.py
@@ -8,8 +8,8 @@
 
 from lagoonpost.declarations.state import declare, merge_objects
 from lagoonpost.store.declaration import (
-    Changed,
     Head,
+    ReadConflict,
     read_declaration,
     read_head,
     read_tickets,
@@ -20,9 +20,9 @@
 
 POLL_SECONDS = 1.0
 """Between polls: one row read a second and gateway, when nothing changes."""
-STORE_SECONDS = 1.0
+STORE_TIMEOUT_SECONDS = 1.0
 """Longest wait for the store before peers are asked instead."""
-PEER_SECONDS = 1.0
+PEER_TIMEOUT_SECONDS = 1.0
 """Longest wait for peers; the next poll asks again."""
 STALL_SECONDS = 4.0
 """A gateway that did not poll for this long may have missed a change.
@@ -32,7 +32,7 @@
 the one before, so that only a frozen process gets there.
 """
 
-AskPeers = Callable[[], Awaitable[Sequence[Snapshot]]]
+FetchPeerSnapshots = Callable[[], Awaitable[Sequence[Snapshot]]]
 
 
 def read_clock() -> float:
@@ -40,12 +40,12 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-async def ask_nobody() -> Sequence[Snapshot]:
+async def fetch_no_snapshots() -> Sequence[Snapshot]:
     """Stand for peers where there are none."""
     return ()
 
 
-class Watch:
+class DeclarationWatch:
     """Polls the store, takes tickets from peers and never goes back.
 
     A declaration could go back in four ways: a gateway starts without the
@@ -67,13 +67,13 @@
     def __init__(
         self,
         store: Store,
-        on_declared: Callable[[Declaration], None],
-        ask_peers: AskPeers = ask_nobody,
+        on_declaration: Callable[[Declaration], None],
+        fetch_peer_snapshots: FetchPeerSnapshots = fetch_no_snapshots,
         clock: Callable[[], float] = read_clock,
     ) -> None:
         self._store = store
-        self._on_declared = on_declared
-        self._ask_peers = ask_peers
+        self._on_declared = on_declaration
+        self._ask_peers = fetch_peer_snapshots
         self._clock = clock
         self._snapshot = Snapshot(0, {})
         self._declaration = Declaration()
@@ -99,7 +99,7 @@
             self._confirmed = False
         return self._confirmed
 
-    def answer_peer(self) -> Snapshot | None:
+    def get_current_snapshot(self) -> Snapshot | None:
         """Return what a peer that asks may take; None if not current.
 
         Two gateways that both start without the store must not take each
@@ -107,15 +107,15 @@
         """
         return self._snapshot if self.is_current() else None
 
-    def take(self, record: TicketRecord) -> None:
+    def apply_ticket(self, record: TicketRecord) -> None:
         """Take a committed ticket, from this gateway's intake or a peer."""
         if record.revision <= self._snapshot.revision:
             return
         self._pending[record.revision] = record
         self._apply_pending("ticket")
-        self.hear(record.revision)
+        self.observe_revision(record.revision)
 
-    def hear(self, revision: int) -> None:
+    def observe_revision(self, revision: int) -> None:
         """Note the revision that a peer has; ask at once if it is newer."""
         self._heard = max(self._heard, revision)
         if self._heard > self._snapshot.revision:
@@ -145,7 +145,7 @@
 
     async def _poll_store(self) -> bool:
         try:
-            async with asyncio.timeout(STORE_SECONDS):
+            async with asyncio.timeout(STORE_TIMEOUT_SECONDS):
                 head = await read_head(self._store)
                 if isinstance(head, Unavailable):
                     return False
@@ -167,14 +167,14 @@
             self._apply_pending("store")
         if self._snapshot.revision < head.revision:
             reading = await read_declaration(self._store)
-            if isinstance(reading, Changed | Unavailable):
+            if isinstance(reading, ReadConflict | Unavailable):
                 return False
             self._take_snapshot(reading.snapshot, "store")
         return True
 
     async def _poll_peers(self) -> None:
         try:
-            async with asyncio.timeout(PEER_SECONDS):
+            async with asyncio.timeout(PEER_TIMEOUT_SECONDS):
                 snapshots = await self._ask_peers()
         except TimeoutError:
             return
--- a/test/test_booking.py
+++ b/test/test_booking.py
@@ -12,9 +12,9 @@
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address, Response
 from lagoonpost.http.server import Handler, Server
-from lagoonpost.store.group import GroupWriter
+from lagoonpost.store.group_commit import GroupWriter
 from lagoonpost.store.health import StoreHealth
-from lagoonpost.store.ledger import Ledger, sweep
+from lagoonpost.store.ledger import Ledger, delete_expired
 from lagoonpost.store.store import Conflict, Row, Write
 from lagoonpost.store.table import TableStore
 from lagoonpost.systems.event import Refuse
@@ -381,7 +381,7 @@
             await world.book_until_taken()
             store = TableStore(world.client, world.table)
             rows = len(world.platform.table.scan("ledger/"))
-            assert await sweep(store, "") == ""
+            assert await delete_expired(store, "") == ""
             left = len(world.platform.table.scan("ledger/"))
             assert (rows, left) == (1, int(world.policy.retention > 0))
 
--- a/test/test_duties.py
+++ b/test/test_duties.py
@@ -12,7 +12,7 @@
     wait_until,
 )
 
-from lagoonpost.platform.cloud import CloudCalls, Duty
+from lagoonpost.platform.cloud import CloudClient, Duty
 
 BOUNDS = {"report_window_s": 1, "usage_late_s": 10, "lease_ms": 500}
 SCALED = {
@@ -122,7 +122,7 @@
         """Guards against a call that is sent after the lease has expired."""
 
         async def story(stack: Stack):
-            calls = CloudCalls(stack.client, stack.cloud_address)
+            calls = CloudClient(stack.client, stack.cloud_address)
             answers = [
                 await calls.report_usage(
                     Duty("gateway-1", 1, lambda may=may: may), 7, {}
--- a/test/test_era.py
+++ b/test/test_era.py
@@ -226,7 +226,7 @@
 
         async def story(host: Host) -> None:
             eras = host.store.eras
-            eras.on_era += [
+            eras.era_listeners += [
                 host.cluster.handle_new_era,
                 host.follower.handle_new_era,
             ]
--- a/test/test_follow.py
+++ b/test/test_follow.py
@@ -24,7 +24,10 @@
 )
 from lagoonpost.http.message import Address
 from lagoonpost.platform.settings import Bounds
-from lagoonpost.platform.store import FEED_SLACK_SECONDS, PlatformStore
+from lagoonpost.platform.store import (
+    FEED_TIMEOUT_MARGIN_SECONDS,
+    PlatformStore,
+)
 from lagoonpost_standins.deployment import make_configuration, make_entry
 from lagoonpost_standins.rows import RowStore
 
@@ -249,7 +252,11 @@
     def test_a_lost_answer_is_given_up_within_the_time_waived(
         self, pause, contact
     ):
-        given_up = pause + find_feed_wait(contact, pause) + FEED_SLACK_SECONDS
+        given_up = (
+            pause
+            + find_feed_wait(contact, pause)
+            + FEED_TIMEOUT_MARGIN_SECONDS
+        )
         assert given_up < contact
 
     @given(contact=st.floats(0.0, 60.0))
--- a/test/test_handover.py
+++ b/test/test_handover.py
@@ -16,8 +16,8 @@
 from lagoonpost.controller.loop import Controller
 from lagoonpost.forwarding.duties import LeaderDuties
 from lagoonpost.forwarding.usage_gossip import UsageGossip
-from lagoonpost.store.lease import DEFAULT_POLICY, LeaseKeeper
-from lagoonpost.store.ledger import sweep
+from lagoonpost.store.lease import DEFAULT_POLICY, LeaseManager
+from lagoonpost.store.ledger import delete_expired
 from lagoonpost.store.store import Condition, Write
 from lagoonpost.systems.shard import MIN_HOLD_SECONDS
 from lagoonpost.tables.gateway_report import GatewayReport
@@ -59,7 +59,7 @@
         self._runs: dict[str, tuple[asyncio.Event, asyncio.Task[None]]] = {}
 
     def start(self, name: str, list_live: Callable[[], set[str]]) -> None:
-        async def work(shard: str, keeper: LeaseKeeper) -> None:
+        async def work(shard: str, keeper: LeaseManager) -> None:
             turn = Turn(name, keeper.fence)
             self.turns.append(turn)
             try:
@@ -203,8 +203,8 @@
             await store.transact([], [Write(key, row)])
             faults = deque(["", "late"])
             store.fault = lambda call: faults.popleft() if faults else ""
-            assert await sweep(store, "") is None
-            assert await sweep(store, "") == ""
+            assert await delete_expired(store, "") is None
+            assert await delete_expired(store, "") == ""
             gone = (await store.read([key]))[0]
             assert gone.value is None
             claim = msgspec.to_builtins(EXPIRED._replace(expires_at=9e9))
--- a/test/test_holder.py
+++ b/test/test_holder.py
@@ -18,11 +18,11 @@
 from lagoonpost.platform.cloud import CloudOutcome, Duty
 from lagoonpost.platform.settings import Bounds
 from lagoonpost.store.clock import read_clock
-from lagoonpost.store.lease import PREFIX
+from lagoonpost.store.lease import LEASE_PREFIX
 from lagoonpost.systems.hub import DUTY_CONTENDERS, Roles
 from lagoonpost.tables.lease import LeaseRow
 
-LEASE_KEY = PREFIX + LEASE_NAME
+LEASE_KEY = LEASE_PREFIX + LEASE_NAME
 LOOKS = 6
 PATIENCE = 20.0
 OWN = "gateway-5"
--- a/test/test_lease.py
+++ b/test/test_lease.py
@@ -18,7 +18,7 @@
 from memory_store import MemoryStore
 
 from lagoonpost.controller.loop import Controller
-from lagoonpost.store.lease import PREFIX, LeaseKeeper
+from lagoonpost.store.lease import LEASE_PREFIX, LeaseManager
 from lagoonpost.store.store import Row
 from lagoonpost.systems.lease import LeasePolicy
 from lagoonpost.systems.shard import (
@@ -437,11 +437,11 @@
         async def play() -> None:
             store = MemoryStore()
             released = LeaseRow("", "nonce-b", 2, 0.1, ("a", "b"))
-            store.rows[f"{PREFIX}shard"] = Row(
-                f"{PREFIX}shard", 3, msgspec.to_builtins(released)
+            store.rows[f"{LEASE_PREFIX}shard"] = Row(
+                f"{LEASE_PREFIX}shard", 3, msgspec.to_builtins(released)
             )
             policy = LeasePolicy(0.2, 0.01, 0.1, 0.01, 0.01, 0.1, REST_SECONDS)
-            keeper = LeaseKeeper(store, "shard", "a", "nonce-a", policy)
+            keeper = LeaseManager(store, "shard", "a", "nonce-a", policy)
             task = asyncio.create_task(keeper.run())
             while len(store.calls) < 10:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
@@ -463,7 +463,7 @@
             live = {"one", "two"}
             fences: dict[str, list[int]] = {shard: [] for shard in SHARDS}
 
-            async def work(shard: str, keeper: LeaseKeeper) -> None:
+            async def work(shard: str, keeper: LeaseManager) -> None:
                 working[shard] += 1
                 fences[shard].append(keeper.fence)
                 assert working[shard] == 1
--- a/test/test_order.py
+++ b/test/test_order.py
@@ -9,7 +9,7 @@
 from lagoonpost.controller.order import OrderSender
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Address, parse_address
-from lagoonpost.store.lease import LeaseKeeper
+from lagoonpost.store.lease import LeaseManager
 from lagoonpost.systems.lease import LeasePolicy
 from lagoonpost.systems.order import (
     REPEAT_SECONDS,
@@ -54,7 +54,7 @@
         )
         store = MemoryStore()
         self.keepers = [
-            LeaseKeeper(store, "shard", name, name, POLICY) for name in "ab"
+            LeaseManager(store, "shard", name, name, POLICY) for name in "ab"
         ]
         self.orders = [OrderSender(self.client, each) for each in self.keepers]
 
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -64,7 +64,10 @@
         bounds = read_host_settings(str(path)).bounds
         assert (bounds.exposure_share, bounds.exposure_slack) == (0.02, 7.0)
         assert (bounds.apply_seconds, bounds.drain_seconds) == (4.0, 3.0)
-        assert (bounds.news_seconds, bounds.contact_seconds) == (3.0, 5.0)
+        assert (bounds.propagation_seconds, bounds.contact_seconds) == (
+            3.0,
+            5.0,
+        )
 
 
 class TestSettingsCommand:
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -327,7 +327,7 @@
         """Guards against a status that stays active for good."""
         rows = RowStore()
         store = PlatformStore(PlayedClient(rows), Address("10.0.0.1", 80))
-        store.eras.on_era.append(self.shifts.handle_new_era)
+        store.eras.era_listeners.append(self.shifts.handle_new_era)
 
         async def story() -> str:
             self.take(0, 50, "v2")
--- a/test/test_sweep.py
+++ b/test/test_sweep.py
@@ -7,7 +7,7 @@
 from memory_store import MemoryStore
 
 from lagoonpost.controller.sweep import sweep_ledger
-from lagoonpost.store.lease import LeaseKeeper
+from lagoonpost.store.lease import LeaseManager
 from lagoonpost.store.store import Row, Write
 from lagoonpost.tables.ledger import LedgerEntry
 
@@ -37,7 +37,7 @@
                 await store.transact([], [Write(key, value)])
             faults = iter(["", "", "down", "lost", ""])
             store.fault = lambda call: next(faults, "")
-            keeper = LeaseKeeper(store, "sweep", "a", "a")
+            keeper = LeaseManager(store, "sweep", "a", "a")
             keeper.lease = keeper.lease._replace(expires=inf)
             task = asyncio.create_task(sweep_ledger(store, keeper, 0.0, 0.0))
             async with asyncio.timeout(20.0):
--- a/test/test_ticket.py
+++ b/test/test_ticket.py
@@ -10,8 +10,8 @@
 
 from lagoonpost.declarations.content import parse_ticket
 from lagoonpost.declarations.file import load_ticket
-from lagoonpost.store.declaration import Changed, read_declaration
-from lagoonpost.store.ticket import WROTE_NOTHING, Intake, Patience
+from lagoonpost.store.declaration import ReadConflict, read_declaration
+from lagoonpost.store.ticket import WROTE_NOTHING, RetryPolicy, TicketStore
 from lagoonpost.tables.ticket import (
     Accepted,
     NotRun,
@@ -57,8 +57,10 @@
     await asyncio.sleep(0)
 
 
-def make_intake(store: MemoryStore, tries: int = 5) -> Intake:
-    return Intake(store, Patience(tries), clock=lambda: 0.0, sleep=sleep_not)
+def make_intake(store: MemoryStore, tries: int = 5) -> TicketStore:
+    return TicketStore(
+        store, RetryPolicy(tries), clock=lambda: 0.0, sleep=sleep_not
+    )
 
 
 def submit(store: MemoryStore, *tickets: Ticket) -> list[TicketOutcome]:
@@ -239,7 +241,7 @@
 
         store.fault = commit
         reading = asyncio.run(read_declaration(store))
-        assert isinstance(reading, Changed)
+        assert isinstance(reading, ReadConflict)
 
     def test_conflicting_tickets_end_with_the_highest(self) -> None:
         store = MemoryStore()
--- a/test/test_ticket_machine.py
+++ b/test/test_ticket_machine.py
@@ -13,7 +13,7 @@
 from test_ticket import make_intake
 
 from lagoonpost.declarations.content import parse_ticket
-from lagoonpost.store.watch import Watch
+from lagoonpost.store.watch import DeclarationWatch
 from lagoonpost.tables.ticket import (
     ABSENT,
     Accepted,
@@ -69,7 +69,7 @@
         self.not_run: list[Ticket] = []
         self.unsettled: list[Ticket] = []
         self.watches = [
-            Watch(self.store, lambda _: None, clock=lambda: 0.0)
+            DeclarationWatch(self.store, lambda _: None, clock=lambda: 0.0)
             for _ in range(2)
         ]
         self.revisions = [0, 0]
@@ -121,7 +121,7 @@
     @rule(index=st.integers(0, 1), number=st.integers(1, 6))
     def push(self, index: int, number: int) -> None:
         if number in self.accepted:
-            self.watches[index].take(self.accepted[number])
+            self.watches[index].apply_ticket(self.accepted[number])
 
     @invariant()
     def accepted_is_kept(self) -> None:
@@ -181,7 +181,9 @@
             case Refused() | NotRun():
                 self.not_run.append(ticket)
 
-    def _states(self, watch: Watch) -> dict[str, tuple[int, object]]:
+    def _states(
+        self, watch: DeclarationWatch
+    ) -> dict[str, tuple[int, object]]:
         objects = watch.snapshot.objects
         return {key: (row.ticket, row.state) for key, row in objects.items()}
 
--- a/test/test_tickets.py
+++ b/test/test_tickets.py
@@ -16,8 +16,8 @@
 from lagoonpost.http.message import Address, Request
 from lagoonpost.http.responder import Responder
 from lagoonpost.http.server import Server
-from lagoonpost.store.ticket import WROTE_NOTHING, Intake, Patience
-from lagoonpost.store.watch import Watch
+from lagoonpost.store.ticket import WROTE_NOTHING, RetryPolicy, TicketStore
+from lagoonpost.store.watch import DeclarationWatch
 
 START = Path(__file__).parent.parent / "examples/tickets/1-start.yaml"
 
@@ -26,8 +26,8 @@
     """Ticket handlers behind a server."""
 
     def __init__(self, store: MemoryStore) -> None:
-        self.watch = Watch(store, lambda _: None)
-        intake = Intake(store, Patience(2, 0.0))
+        self.watch = DeclarationWatch(store, lambda _: None)
+        intake = TicketStore(store, RetryPolicy(2, 0.0))
         self.handlers = TicketHandlers(intake, self.watch, lambda _: None)
         self.server = Server(self._handle)
 
--- a/test/test_watch.py
+++ b/test/test_watch.py
@@ -6,8 +6,8 @@
 from memory_store import MemoryStore
 from test_ticket import make_ticket, submit
 
-from lagoonpost.store.declaration import RECENT
-from lagoonpost.store.watch import STALL_SECONDS, Watch
+from lagoonpost.store.declaration import RECENT_TICKETS
+from lagoonpost.store.watch import STALL_SECONDS, DeclarationWatch
 from lagoonpost.tables.entity import Declaration
 from lagoonpost.tables.ticket import Accepted, Snapshot, TicketRecord
 
@@ -17,15 +17,15 @@
 
     def __init__(self, store: MemoryStore | None = None) -> None:
         self.store = store or MemoryStore()
-        self.peers: list[Watch] = []
+        self.peers: list[DeclarationWatch] = []
         self.now = 100.0
         self.declared: list[Declaration] = []
-        self.watch = Watch(
+        self.watch = DeclarationWatch(
             self.store, self.declared.append, self._ask, lambda: self.now
         )
 
     async def _ask(self) -> Sequence[Snapshot]:
-        answers = [peer.answer_peer() for peer in self.peers]
+        answers = [peer.get_current_snapshot() for peer in self.peers]
         return [answer for answer in answers if answer is not None]
 
     def poll(self) -> None:
@@ -75,10 +75,12 @@
         site = Site()
         accept(site.store, 1)
         site.poll()
-        accept(site.store, *range(2, RECENT + 4))
+        accept(site.store, *range(2, RECENT_TICKETS + 4))
         site.poll()
-        assert site.watch.declaration.revision == RECENT + 3
-        assert site.watch.declaration.workspaces[0].ticket == RECENT + 3
+        assert site.watch.declaration.revision == RECENT_TICKETS + 3
+        assert (
+            site.watch.declaration.workspaces[0].ticket == RECENT_TICKETS + 3
+        )
 
     def test_never_goes_back_with_the_store(self) -> None:
         """The platform's operators restore the tables from an old copy.
@@ -106,8 +108,8 @@
         site = Site()
         first, second = accept(site.store, 1, 2)
         site.cut_store()
-        site.watch.take(first)
-        site.watch.take(second)
+        site.watch.apply_ticket(first)
+        site.watch.apply_ticket(second)
         assert site.revisions == [1, 2]
 
     def test_ticket_after_a_gap_waits_for_what_is_missing(self) -> None:
@@ -120,7 +122,7 @@
         records = accept(peer.store, 1, 2)
         peer.poll()
         site.cut_store()
-        site.watch.take(records[1])
+        site.watch.apply_ticket(records[1])
         assert site.revisions == []
         site.peers = [peer.watch]
         site.poll()
@@ -131,8 +133,8 @@
         site = Site()
         old, _ = accept(site.store, 1, 2)
         site.poll()
-        site.watch.take(old)
-        site.watch.hear(1)
+        site.watch.apply_ticket(old)
+        site.watch.observe_revision(1)
         site.watch._take_snapshot(Snapshot(1, {}), "peer")
         assert site.revisions == [2]
 
