--- a/lagoonpost/platform/__init__.py
+++ b/lagoonpost/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls, no decision."""
+"""Adapter to the platform: its names, formats and calls, no decisions."""
--- a/lagoonpost/platform/cloud.py
+++ b/lagoonpost/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's calls that only the holder of a duty may make."""
+"""Client for the cloud calls that only the holder of a duty may make."""
 
 from collections.abc import Callable
 from typing import Literal, NamedTuple
@@ -9,19 +9,19 @@
 from lagoonpost.http.message import Address
 
 CLOUD_TIMEOUT_SECONDS = 2.0
-"""Longest wait; a call without an answer is repeated as it was."""
+"""Timeout; a call without a response is repeated unchanged."""
 
 CloudOutcome = Literal["done", "fenced", "refused", "unknown"]
 _OUTCOMES: dict[int, CloudOutcome] = {200: "done", 409: "fenced"}
 
 
 class Duty(NamedTuple):
-    """Under which name and fencing number a call is made.
+    """Identity and fencing number under which a call is made.
 
     Attributes:
         holder: Name of the host.
         fence: Fencing number.
-        may_send: Asked right before the first byte leaves.
+        may_send: Returns whether to send; called before the first byte.
     """
 
     holder: str
@@ -30,11 +30,11 @@
 
 
 class CloudClient:
-    """Usage reports and orders of runners.
+    """Reports usage and orders runners.
 
     Args:
         client: HTTP client.
-        address: Where the cloud listens.
+        address: Address of the cloud API.
     """
 
     def __init__(self, client: Client, address: Address) -> None:
@@ -44,10 +44,10 @@
     async def report_usage(
         self, duty: Duty, window: int, counts: dict[str, int]
     ) -> CloudOutcome:
-        """Report what each workspace used in one window.
+        """Report the usage of each workspace in one window.
 
         Returns:
-            "fenced" if a higher fencing number was seen before.
+            "fenced" if the cloud has seen a higher fencing number.
         """
         body = {"window_id": window, "counts": counts}
         return await self._call("/usage", duty, body)
@@ -55,11 +55,11 @@
     async def order_runners(
         self, duty: Duty, service: str, domain: str, count: int, spot: bool
     ) -> CloudOutcome:
-        """Order a number of runners of a service in a failure domain.
+        """Set the number of runners of a service in a failure domain.
 
         Returns:
-            "fenced" if there are none to be had, or a higher fencing
-            number was seen: both have the same answer.
+            "fenced" if no runners are available or the cloud has seen a
+            higher fencing number; the response is the same in both cases.
         """
         body = {"service": service, "zone": domain, "desired_count": count}
         if spot:
@@ -73,7 +73,7 @@
             ("fence-token", str(duty.fence)),
         )
         try:
-            answer = await self._client.call(
+            response = await self._client.call(
                 self._address,
                 "POST",
                 path,
@@ -85,4 +85,4 @@
             )
         except CallFailedError as error:
             return "unknown" if error.sent else "refused"
-        return _OUTCOMES.get(answer.status, "refused")
+        return _OUTCOMES.get(response.status, "refused")
--- a/lagoonpost/platform/configuration.py
+++ b/lagoonpost/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration into the product's own types."""
+"""Decodes the operators' configuration into internal types."""
 
 from typing import Any
 
@@ -24,14 +24,14 @@
 
 
 class InvalidRowError(ValueError):
-    """A row of the store that does not hold what it should."""
+    """A row of the store does not have the expected content."""
 
 
 def decode_configuration(body: bytes) -> Configuration:
-    """Decode a whole configuration.
+    """Decode a complete configuration.
 
     Raises:
-        UnreadableError: If it can't be read; the one in force then stays.
+        InvalidRowError: If decoding fails; the active one stays in force.
     """
     try:
         return _decode(msgspec.json.decode(body))
@@ -46,13 +46,13 @@
 
 
 def _decode(value: dict[str, Any]) -> Configuration:
-    services = [_decode_service(each) for each in value.get("services") or []]
+    services = [_decode_service(item) for item in value.get("services") or []]
     return Configuration(
         version=int(value["version"]),
-        routes=tuple(_decode_route(each) for each in value["routes"]),
+        routes=tuple(_decode_route(item) for item in value["routes"]),
         services={service.name: service for service in services},
         workspaces=tuple(
-            _decode_workspace(each) for each in value.get("tenants") or []
+            _decode_workspace(item) for item in value.get("tenants") or []
         ),
         limits=_decode_limits(value.get("limits") or {}),
     )
@@ -69,8 +69,8 @@
         prefix=str(value["prefix"]),
         kind=_KINDS[value["kind"]],
         shares=tuple(
-            TrafficShare(str(each["service"]), float(each["weight"]))
-            for each in split
+            TrafficShare(str(item["service"]), float(item["weight"]))
+            for item in split
         ),
         timeout=timeout / MS_PER_SECOND,
         target=float(value.get("target_latency_ms") or timeout)
@@ -103,7 +103,7 @@
         min_runners=int(value.get("min") or 0),
         max_runners=int(value.get("max") or 0),
         boot_seconds=float(value.get("boot_s") or 0.0),
-        # Without a price there are no reclaimable runners to order.
+        # No price means that reclaimable runners are not available.
         spot_price=float(value.get("spot_price") or 0.0),
         prices={str(zone): float(price) for zone, price in prices.items()},
     )
--- a/lagoonpost/platform/endpoint.py
+++ b/lagoonpost/platform/endpoint.py
@@ -1,4 +1,4 @@
-"""Decodes the entries that runners write about themselves."""
+"""Decodes the endpoint entries that runners write to the store."""
 
 import msgspec
 
@@ -10,11 +10,11 @@
 
 
 class _Entry(msgspec.Struct):
-    """An entry as written.
+    """An entry in the platform's JSON format.
 
-    ``version`` is that of the software, ``cold_remaining_ms`` is not read:
-    slow starts are measured. ``seq`` counts how often it was written since
-    the start that ``born`` names.
+    ``version`` is the software version. ``cold_remaining_ms`` is not decoded,
+    because slow starts are measured instead. ``seq`` counts the writes of the
+    entry since the runner's start, which ``born`` identifies.
     """
 
     service: str
@@ -28,7 +28,7 @@
     leaves_ms: float | None = None
 
 
-class _Place(msgspec.Struct):
+class _Sequence(msgspec.Struct):
     born: int = 0
     seq: int = 0
 
@@ -37,20 +37,19 @@
 
 
 def decode_sequence(body: bytes) -> tuple[int, int] | None:
-    """Return a runner's start and count, which order all that it wrote."""
+    """Return a runner's start and write count, which order its entries."""
     try:
-        place = msgspec.json.decode(body, type=_Place)
+        order = msgspec.json.decode(body, type=_Sequence)
     except msgspec.DecodeError:
         return None
-    return (place.born, place.seq) if place.born and place.seq else None
+    return (order.born, order.seq) if order.born and order.seq else None
 
 
 def decode_endpoint(key: str, body: bytes) -> Endpoint:
     """Decode the entry of the runner with id ``key``.
 
     Raises:
-        UnreadableError: If a needed field is missing, of another type or
-            unknown, so that the entry names no runner to use.
+        InvalidRowError: If a required field is missing or invalid.
     """
     try:
         entry = _decoder.decode(body)
--- a/lagoonpost/platform/headers.py
+++ b/lagoonpost/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers and paths, and what callers and runners say in them."""
+"""Names of the platform's headers and paths; parsing and building headers."""
 
 from typing import NamedTuple
 
@@ -27,7 +27,7 @@
 NOT_RUN_STATUS = frozenset({421})
 MISDIRECTED = 421
 
-# Set by us or meant for one connection; a caller's own value never passes.
+# Set by the gateway or valid per connection; never forwarded from a caller.
 _DROPPED = frozenset(
     {
         "connection",
@@ -55,7 +55,7 @@
         "kv-backup",
     }
 )
-# Of a runner's answer: framing is made anew on the caller's connection.
+# Removed from a runner's response: framing is per connection.
 _FRAMING = frozenset(
     {
         "connection",
@@ -69,17 +69,17 @@
 
 
 class AddedHeaders(NamedTuple):
-    """What we tell a runner besides the caller's own headers.
+    """Values of the headers that the gateway adds to a forwarded request.
 
     Attributes:
-        runner: Id of the runner that is meant.
-        left: Seconds that are left for the request; None for no bound.
-        workspace: Whose request it is; empty if nobody's.
-        last_event: Id of the last event that the caller has, or empty.
-        urgency: From 0, the most urgent, to 9.
-        saved: Memory of the stopped run that it goes on from, if it does.
-        holder: Runner from which it may copy what it does not hold of the
-            prompt.
+        runner: Id of the intended runner.
+        left: Seconds until the deadline; None if there is no deadline.
+        workspace: Workspace of the caller; empty if there is none.
+        last_event: Id of the last event that the caller received, or empty.
+        urgency: From 0, the most urgent, to 9; None to send no urgency.
+        saved: KV cache of the stopped run to resume from, or None.
+        holder: Runner from which KV cache of missing prompt parts may be
+            copied, or None.
     """
 
     runner: str
@@ -92,7 +92,7 @@
 
 
 def parse_request_headers(headers: Headers) -> RequestMetadata:
-    """Decode what a caller says of its request."""
+    """Parse the headers of a caller's request."""
     key = find_header(headers, AUTHORIZATION) or ""
     scheme, token = key[: len(BEARER)], key[len(BEARER) :].strip()
     return RequestMetadata(
@@ -106,61 +106,61 @@
     )
 
 
-def make_request_headers(headers: Headers, told: AddedHeaders) -> Headers:
-    """Return the headers for the runner.
+def make_request_headers(headers: Headers, added: AddedHeaders) -> Headers:
+    """Return the headers of the request to the runner.
 
     Args:
-        headers: The caller's.
-        told: What we set ourselves.
+        headers: Headers of the caller's request.
+        added: Values of the headers that the gateway adds.
     """
-    listed = _list_hop_headers(headers)
+    hop_headers = _list_hop_headers(headers)
     kept = tuple(
         (name, value)
         for name, value in headers
-        if name not in _DROPPED and name not in listed
+        if name not in _DROPPED and name not in hop_headers
     )
-    own = [(EXPECTED_RUNNER, told.runner)]
-    if told.left is not None:
-        own.append((DEADLINE, str(max(1, int(told.left * 1000)))))
-    if told.workspace:
-        own.append((WORKSPACE, told.workspace))
-    if told.last_event:
-        own.append((LAST_EVENT, told.last_event))
-    if told.urgency is not None:
-        own.append((URGENCY, str(told.urgency)))
-    if told.saved is not None:
-        place = f"{told.saved.source}/{told.saved.handle}"
-        own.append((SAVED_RUN, place))
-    elif told.holder is not None:
-        own.append((CACHE_HOLDER, str(told.holder)))
+    own = [(EXPECTED_RUNNER, added.runner)]
+    if added.left is not None:
+        own.append((DEADLINE, str(max(1, int(added.left * 1000)))))
+    if added.workspace:
+        own.append((WORKSPACE, added.workspace))
+    if added.last_event:
+        own.append((LAST_EVENT, added.last_event))
+    if added.urgency is not None:
+        own.append((URGENCY, str(added.urgency)))
+    if added.saved is not None:
+        location = f"{added.saved.source}/{added.saved.handle}"
+        own.append((SAVED_RUN, location))
+    elif added.holder is not None:
+        own.append((CACHE_HOLDER, str(added.holder)))
     return (*kept, *own)
 
 
 def make_response_headers(headers: Headers) -> Headers:
-    """Return a runner's headers as the caller is to get them."""
-    listed = _list_hop_headers(headers)
+    """Return the headers of the response to the caller."""
+    hop_headers = _list_hop_headers(headers)
     return tuple(
         (name, value)
         for name, value in headers
-        if name not in _FRAMING and name not in listed
+        if name not in _FRAMING and name not in hop_headers
     )
 
 
 def is_not_run(status: int, headers: Headers) -> bool:
-    """Tell whether a runner says that it did not run the request."""
+    """Return whether the response states that the request was not run."""
     if status == MISDIRECTED:
         return True
     return find_header(headers, NOT_EXECUTED) is not None
 
 
 def is_answer_to(headers: Headers, request_id: str) -> bool:
-    """Tell whether an answer names the request or none at all."""
+    """Return whether a response echoes this request id or none."""
     echoed = find_header(headers, REQUEST_ID)
     return echoed is None or echoed == request_id
 
 
 def is_signed(headers: Headers) -> bool:
-    """Tell whether an answer bears a runner's signature."""
+    """Return whether a response has a runner's signature."""
     return find_header(headers, SIGNATURE) is not None
 
 
--- a/lagoonpost/platform/kv_cache.py
+++ b/lagoonpost/platform/kv_cache.py
@@ -1,4 +1,4 @@
-"""Runners' calls that copy the memory of a run to another runner."""
+"""Client for the runner calls that copy a run's KV cache to another runner."""
 
 import msgspec
 
@@ -16,8 +16,8 @@
 COPY_PATH = "/v1/kv-move"
 FREE_PATH = "/v1/kv-handle/"
 COPY_TIMEOUT_SECONDS = 1.0
-"""Longest wait for a copy: a run of 12,000 tokens takes some ten milliseconds,
-and those of a whole runner wait for each other."""
+"""Timeout: copying a run of 12,000 tokens takes some ten milliseconds, and the
+copies of all runs of a runner wait for each other."""
 
 
 class _Answer(msgspec.Struct):
@@ -25,7 +25,7 @@
 
 
 class KvCacheClient:
-    """Copies the memory of runs.
+    """Copies the KV cache of runs between runners.
 
     Args:
         client: HTTP client.
@@ -37,19 +37,19 @@
     async def copy(
         self, source: Address, request_id: str, target: Address, stop: bool
     ) -> CopyOutcome:
-        """Copy a run's memory, or what is new since the copy before.
+        """Copy a run's KV cache, or its growth since the previous copy.
 
         Args:
-            source: Runner that works on it.
+            source: Runner that executes the run.
             request_id: Id of the caller's attempt.
-            target: Runner that gets the copy.
-            stop: Whether the run is stopped first, so that the copy is all.
+            target: Runner that receives the copy.
+            stop: Whether to stop the run first, so that the copy is complete.
         """
         body: dict[str, object] = {"id": request_id, "to": str(target)}
         if stop:
             body["last"] = True
         try:
-            answer = await self._client.call(
+            response = await self._client.call(
                 source,
                 "POST",
                 COPY_PATH,
@@ -60,12 +60,12 @@
             )
         except CallFailedError as error:
             return Unanswered(str(error))
-        return _read_outcome(answer, source)
+        return _read_outcome(response, source)
 
     async def free(self, saved: KvCopy) -> None:
-        """Drop the copies of a run that nobody goes on from.
+        """Delete the copies of a run that is not going to be resumed.
 
-        A runner that can't be reached drops them by itself after a while.
+        A runner that cannot be reached deletes them itself after a while.
         """
         try:
             await self._client.call(
@@ -79,17 +79,17 @@
             return
 
 
-def _read_outcome(answer: Response, source: Address) -> CopyOutcome:
-    if answer.status == 404:
+def _read_outcome(response: Response, source: Address) -> CopyOutcome:
+    if response.status == 404:
         return NoRun()
-    if answer.status == 503:
+    if response.status == 503:
         return NoRoom()
-    if answer.status != 200:
-        return Unanswered(f"status {answer.status}")
+    if response.status != 200:
+        return Unanswered(f"status {response.status}")
     try:
-        decoded = msgspec.json.decode(answer.body, type=_Answer)
+        decoded = msgspec.json.decode(response.body, type=_Answer)
     except msgspec.DecodeError as error:
         return Unanswered(str(error))
     if not decoded.handle:
-        return Unanswered("no handle")
+        return Unanswered("response has no handle")
     return Copied(KvCopy(source, decoded.handle))
--- a/lagoonpost/platform/rollout.py
+++ b/lagoonpost/platform/rollout.py
@@ -1,4 +1,4 @@
-"""Orders to move a service to another version, and what is told of them."""
+"""Formats of rollout orders and of the rollout status for operators."""
 
 import msgspec
 
@@ -30,10 +30,10 @@
 
 
 def decode_order(body: bytes, number: int) -> ShiftOrder:
-    """Decode an order.
+    """Decode a rollout order.
 
     Raises:
-        UnreadableError: If it can't be read; nothing is moved then.
+        InvalidRowError: If decoding fails; no rollout is started then.
     """
     try:
         order = msgspec.json.decode(body, type=_Order)
@@ -43,19 +43,19 @@
 
 
 def format_status(order: ShiftOrder, phase: ShiftPhase) -> dict[str, str]:
-    """Return what operators are told of an order."""
+    """Return the status of an order in the operators' format."""
     return {"state": _STATES[phase], "to": order.to}
 
 
 def decode_final_phase(body: bytes, order: ShiftOrder) -> ShiftPhase | None:
-    """Return how an order has ended by what operators were told before.
+    """Return the final phase of an order from its last written status.
 
     Returns:
-        None if it has not ended, or the row is of another order.
+        None if the order has not ended or the status is of another order.
     """
     try:
         status = msgspec.json.decode(body, type=_Status)
     except msgspec.DecodeError:
-        # Nobody else writes there; what can't be read is written anew.
+        # Only gateways write status rows; an invalid row is overwritten.
         return None
     return _ENDS.get(status.state) if status.to == order.to else None
--- a/lagoonpost/platform/settings.py
+++ b/lagoonpost/platform/settings.py
@@ -10,26 +10,26 @@
 
 
 class Bounds(NamedTuple):
-    """Promised times and shares that decisions have to keep.
+    """Guaranteed times and ratios that decisions must keep.
 
     Attributes:
-        lease_seconds: Within it no duty may go from A to B and back to A.
-        grace_seconds: From the order to stop to the kill.
-        budget_ratio: Repeats allowed as a part of a service's requests.
-        budget_window: Seconds over which repeats are counted.
-        budget_floor: Repeats allowed besides, over all gateways.
-        quota_window: Seconds over which workspaces' units are counted.
-        quota_overage: Part of a quota that may be passed beyond it.
-        quota_slack: Units that may be passed beyond that.
-        usage_window: Seconds of one usage report.
-        usage_late: Seconds after its end until a report counts as missing.
-        contact_seconds: Time after a disturbance in which bounds are waived.
-        drain_seconds: Time in which a leaving runner's news must be known.
-        apply_seconds: Time in which a configuration must be in force.
-        ttl_most: Most seconds for which callers keep a list of entries.
-        exposure_share: Part of a service's requests that a version which
-            turns out to be bad may have got.
-        exposure_slack: Requests that it may have got besides.
+        lease_seconds: Time within which no duty may move to B and back to A.
+        grace_seconds: Time from the stop signal to the kill.
+        budget_ratio: Retries allowed as a fraction of a service's requests.
+        budget_window: Seconds over which retries are counted.
+        budget_floor: Additional retries allowed, over all gateways.
+        quota_window: Seconds over which a workspace's units are counted.
+        quota_overage: Fraction of a quota by which it may be exceeded.
+        quota_slack: Additional units by which a quota may be exceeded.
+        usage_window: Seconds covered by one usage report.
+        usage_late: Seconds after a window's end until its report is missing.
+        contact_seconds: Time after a disruption in which bounds are waived.
+        drain_seconds: Time within which gateways must see a draining runner.
+        apply_seconds: Time within which a new configuration must be in force.
+        ttl_most: Maximum seconds for which callers cache a list of entries.
+        exposure_share: Fraction of a service's requests that may reach a
+            version that turns out to be faulty.
+        exposure_slack: Additional requests that may reach such a version.
     """
 
     lease_seconds: float = 3.0
@@ -51,29 +51,29 @@
 
     @property
     def propagation_seconds(self) -> float:
-        """Time in which any news of the store must be known."""
+        """Time within which a change in the store must reach all gateways."""
         return min(self.apply_seconds, self.drain_seconds)
 
 
 class HostSettings(NamedTuple):
-    """What a process is told about itself and what is around it.
+    """Settings of a process on one host.
 
     Attributes:
-        name: Name of this host's process.
+        name: Name of the process on this host.
         failure_domain: Failure domain of the host.
         region: Region of the host.
-        regions: Region by failure domain, of all of them.
-        entry: Where callers connect.
-        ready: Where readiness is asked for; None if nobody asks.
-        directory: Where callers ask for entries; None if this is not one.
-        peer: Where peers connect.
-        seeds: Where some peers listen; they may be gone.
+        regions: Region of every failure domain.
+        entry: Address at which callers connect.
+        ready: Address of the readiness check; None if it is not served.
+        directory: Address that serves the list of entries, or None.
+        peer: Address at which peers connect.
+        seeds: Addresses of some initial peers; these may no longer exist.
         store: Address of the store.
-        cloud: Address of the cloud's calls; None if there are no duties.
-        reports_usage: Whether usage is to be reported.
-        orders_runners: Whether runners are to be ordered.
-        first_start: Whether the whole system starts for the first time.
-        bounds: Promised times and shares.
+        cloud: Address of the cloud API; None if the host has no duties.
+        reports_usage: Whether to report usage.
+        orders_runners: Whether to order runners.
+        first_start: Whether this is the first start of the whole system.
+        bounds: Guaranteed times and ratios.
     """
 
     name: str
@@ -94,11 +94,11 @@
 
 
 class SettingsError(Exception):
-    """The settings file can't be used; the text names file and field."""
+    """The settings file is invalid; the message names file and field."""
 
 
 def read_modification_time(path: str) -> float:
-    """Return when the settings file changed last; 0 if it can't be seen."""
+    """Return the file's modification time, or 0 if it is not accessible."""
     try:
         return os.stat(path).st_mtime
     except OSError:
@@ -109,7 +109,7 @@
     """Read and check the settings file.
 
     Raises:
-        SettingsError: If the file can't be read or lacks what is needed.
+        SettingsError: If the file or a setting is missing or invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -128,8 +128,8 @@
     cloud = document.get("cloud") or {}
     duties = cloud.get("duties") or []
     host = str(document["ip"])
-    # Seeds name an address that only the platform's own pages use; ports
-    # are the same on all hosts, so a seed's host is what it tells us.
+    # The port of a seed belongs to the platform's own pages. Peer ports are
+    # the same on all hosts, so only the seed's host is used.
     port = int(document["internal_ports"][0])
     seeds = [parse_address(text).host for text in document.get("seeds") or []]
     return HostSettings(
@@ -138,12 +138,12 @@
         region=str(document["region"]),
         regions={str(k): str(v) for k, v in document["zones"].items()},
         entry=parse_address(listen["front"]),
-        ready=_address(listen.get("ready")),
-        directory=_address(listen.get("directory")),
+        ready=_parse_optional(listen.get("ready")),
+        directory=_parse_optional(listen.get("directory")),
         peer=Address(host, port),
         seeds=tuple(Address(seed, port) for seed in seeds if seed != host),
         store=parse_address(document["platform"]["address"]),
-        cloud=_address(cloud.get("address")),
+        cloud=_parse_optional(cloud.get("address")),
         reports_usage="usage_report" in duties,
         orders_runners="autoscale" in duties,
         first_start=bool(document.get("bootstrap")),
@@ -151,32 +151,32 @@
     )
 
 
-def _address(text: str | None) -> Address | None:
+def _parse_optional(text: str | None) -> Address | None:
     return parse_address(text) if text else None
 
 
 def _decode_bounds(bounds: dict[str, Any]) -> Bounds:
     default = Bounds()
 
-    def seconds(name: str, fallback: float, unit: float = 1.0) -> float:
+    def read(name: str, fallback: float, unit: float = 1.0) -> float:
         value = bounds.get(name)
         return fallback if value is None else float(value) / unit
 
     return Bounds(
-        lease_seconds=seconds("lease_ms", default.lease_seconds, 1000),
-        grace_seconds=seconds("grace_s", default.grace_seconds),
-        budget_ratio=seconds("retry_budget_ratio", default.budget_ratio),
-        budget_window=seconds("budget_window_s", default.budget_window),
-        budget_floor=seconds("budget_min_retries", default.budget_floor),
-        quota_window=seconds("quota_window_s", default.quota_window),
-        quota_overage=seconds("quota_overage", default.quota_overage),
-        quota_slack=seconds("quota_slack", default.quota_slack),
-        usage_window=seconds("report_window_s", default.usage_window),
-        usage_late=seconds("usage_late_s", default.usage_late),
-        contact_seconds=seconds("contact_ms", default.contact_seconds, 1000),
-        drain_seconds=seconds("drain_ms", default.drain_seconds, 1000),
-        apply_seconds=seconds("config_apply_ms", default.apply_seconds, 1000),
-        ttl_most=seconds("ttl_max_s", default.ttl_most),
-        exposure_share=seconds("exposure_share", default.exposure_share),
-        exposure_slack=seconds("exposure_slack", default.exposure_slack),
+        lease_seconds=read("lease_ms", default.lease_seconds, 1000),
+        grace_seconds=read("grace_s", default.grace_seconds),
+        budget_ratio=read("retry_budget_ratio", default.budget_ratio),
+        budget_window=read("budget_window_s", default.budget_window),
+        budget_floor=read("budget_min_retries", default.budget_floor),
+        quota_window=read("quota_window_s", default.quota_window),
+        quota_overage=read("quota_overage", default.quota_overage),
+        quota_slack=read("quota_slack", default.quota_slack),
+        usage_window=read("report_window_s", default.usage_window),
+        usage_late=read("usage_late_s", default.usage_late),
+        contact_seconds=read("contact_ms", default.contact_seconds, 1000),
+        drain_seconds=read("drain_ms", default.drain_seconds, 1000),
+        apply_seconds=read("config_apply_ms", default.apply_seconds, 1000),
+        ttl_most=read("ttl_max_s", default.ttl_most),
+        exposure_share=read("exposure_share", default.exposure_share),
+        exposure_slack=read("exposure_slack", default.exposure_slack),
     )
--- a/lagoonpost/platform/store.py
+++ b/lagoonpost/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's metadata store: transactions, reads and feeds."""
+"""Client of the platform's metadata store: transactions, reads and feeds."""
 
 import base64
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 from lagoonpost.tables import stamp
 from lagoonpost.tables.control_traffic import ControlTraffic
 
-# The product's own rows live in one table; the keys name what they are.
+# All rows of lagoonpost are in one table; the key prefix names their kind.
 OWN_TABLE = "lagoonpost"
 CONFIGURATION_TABLE = "op"
 CONFIGURATION_KEY = "config"
@@ -30,17 +30,17 @@
 STATUS_TABLE = "status"
 ERA_HEADER = "store-era"
 STORE_TIMEOUT_SECONDS = 1.0
-"""Longest wait for an answer: 250 times the store's usual one."""
+"""Timeout of a call: 250 times the store's usual response time."""
 FEED_TIMEOUT_MARGIN_SECONDS = 1.0
-"""Longest wait for a feed's answer beyond the wait that was asked for."""
+"""Timeout of a feed call beyond its requested long-poll duration."""
 PAGE_ROWS = 500
-"""Most rows that the store gives in one answer."""
+"""Maximum number of rows that the store returns in one response."""
 
 
 class FeedRow(NamedTuple):
-    """A row as a table's feed tells it; ``value`` is None once deleted.
+    """A row of a table or its feed; ``value`` is None if it was deleted.
 
-    ``version`` is a stamp.
+    ``version`` is a stamp, made of era and row version.
     """
 
     key: str
@@ -49,18 +49,18 @@
 
 
 class Page(NamedTuple):
-    """Rows and the stamp up to which the answer holds."""
+    """Rows, and the stamp up to which they are complete."""
 
     rows: tuple[FeedRow, ...]
     version: int
 
 
 class HistoryLost(NamedTuple):
-    """The feed no longer reaches back to the version asked for."""
+    """The feed no longer contains the changes since the given version."""
 
 
 class StoreReply(NamedTuple):
-    """What the store answered, and in which era."""
+    """Response of the store and the era in which it was sent."""
 
     status: int
     body: bytes
@@ -86,12 +86,12 @@
 
 
 class PlatformStore:
-    """The store, for the product's own rows and for what others write.
+    """Client for the rows of lagoonpost and the tables of other writers.
 
     Args:
         client: HTTP client.
-        address: Where the store listens.
-        traffic: Counts the calls, by what they read or write.
+        address: Address of the store.
+        traffic: Counts messages and bytes by the kind of rows.
     """
 
     def __init__(
@@ -106,18 +106,18 @@
         self.clock = RemoteClock()
         self.eras = EraTracker()
 
-    def _decode(self, answer: StoreReply) -> _WireRows:
-        page = _decode_rows(answer.body)
+    def _decode(self, reply: StoreReply) -> _WireRows:
+        page = _decode_rows(reply.body)
         if page.now_ms is not None:
             self.clock.note(page.now_ms / 1000)
         return page
 
-    # Rows of the product
+    # Rows of lagoonpost
 
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> Committed | Conflict | Unavailable:
-        """Apply all ``writes`` if all ``conditions`` hold, or nothing."""
+        """Apply all ``writes`` atomically if all ``conditions`` hold."""
         outcome = await self._transact(
             [{**_place(each.key), "ver": each.version} for each in conditions],
             [
@@ -129,7 +129,7 @@
         )
         match outcome:
             case Conflict(rows):
-                return Conflict(_order(conditions, rows))
+                return Conflict(_sort_rows(conditions, rows))
             case Committed((row, *_)):
                 return Committed(
                     tuple(
@@ -145,7 +145,7 @@
         writes: list[dict[str, str]],
         deletes: Sequence[dict[str, str]] = (),
     ) -> Committed | Conflict | Unavailable:
-        """Apply a transaction; the one row of `Committed` has its version."""
+        """Apply a transaction; the row in `Committed` has only a version."""
         eras = {stamp.find_era(row["ver"]) for row in expected if row["ver"]}
         body = {
             "expected_rev": [
@@ -155,50 +155,50 @@
             "writes": writes,
             "deletes": deletes,
         }
-        answer = await self._call(
+        reply = await self._call(
             "POST",
             "/v1/rows-tx",
             msgspec.json.encode(body),
             purpose=_name_write([*writes, *deletes]),
         )
-        if isinstance(answer, Unavailable):
-            return answer
-        if answer.status == 412:
-            rows = self._decode(answer).rows
-            return Conflict(tuple(_own(row, answer.era) for row in rows))
-        if answer.status != 200:
-            return Unavailable(f"status {answer.status}", applied=False)
-        if any(era < answer.era for era in eras):
-            return Unavailable("written in another era", applied=None)
-        version = stamp.make_stamp(answer.era, self._decode(answer).ver)
+        if isinstance(reply, Unavailable):
+            return reply
+        if reply.status == 412:
+            rows = self._decode(reply).rows
+            return Conflict(tuple(_make_row(row, reply.era) for row in rows))
+        if reply.status != 200:
+            return Unavailable(f"status {reply.status}", applied=False)
+        if any(era < reply.era for era in eras):
+            return Unavailable("conditions of an earlier era", applied=None)
+        version = stamp.make_stamp(reply.era, self._decode(reply).ver)
         return Committed((Row("", version),))
 
     async def read(self, keys: Sequence[str]) -> tuple[Row, ...] | Unavailable:
-        """Return one row for each key, in order."""
+        """Return one row per key, in the order of ``keys``."""
         rows: list[Row] = []
         for key in keys:
             page = await self.read_table(OWN_TABLE, key, key + "\0")
             if isinstance(page, Unavailable):
                 return page
-            found = [_own_row(row) for row in page.rows]
+            found = [_parse_row(row) for row in page.rows]
             rows.append(found[0] if found else Row(key, 0))
         return tuple(rows)
 
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...] | Unavailable:
-        """Return rows with keys that start with ``prefix``, in key order."""
+        """Return rows whose keys start with ``prefix``, in key order."""
         first = max(prefix, after + "\0" if after else "")
         last = prefix + "\U0010ffff"
         page = await self.read_table(OWN_TABLE, first, last)
         if isinstance(page, Unavailable):
             return page
-        return tuple(_own_row(row) for row in page.rows)[:limit]
+        return tuple(_parse_row(row) for row in page.rows)[:limit]
 
-    # What operators read
+    # Status rows for operators
 
     async def read_status(self, key: str) -> FeedRow | Unavailable:
-        """Return what operators were told last; version 0 if nothing."""
+        """Return a status row; its version is 0 if it is absent."""
         page = await self.read_table(STATUS_TABLE, key, key + "\0")
         if isinstance(page, Unavailable):
             return page
@@ -207,53 +207,51 @@
     async def write_status(
         self, key: str, version: int, value: dict[str, str]
     ) -> Committed | Conflict | Unavailable:
-        """Tell operators something, if nothing newer than known is there."""
-        place = {"table": STATUS_TABLE, "part": "", "key": key}
+        """Write a status row if its version is still ``version``."""
+        address = {"table": STATUS_TABLE, "part": "", "key": key}
         return await self._transact(
-            [{**place, "ver": version}],
-            [{**place, "value": _encode(value)}],
+            [{**address, "ver": version}],
+            [{**address, "value": _encode(value)}],
         )
 
-    # Tables of others
+    # Tables of other writers
 
     async def read_table(
         self, table: str, first: str = "", last: str = ""
     ) -> Page | Unavailable:
-        """Return all rows of a table whose keys are in a range."""
+        """Return the rows with keys from ``first`` to below ``last``."""
         rows: list[FeedRow] = []
         while True:
             query = {"table": table, "part": "", "limit": str(PAGE_ROWS)}
             query.update({"from": first} if first else {})
             query.update({"to": last} if last else {})
-            answer = await self._call(
+            reply = await self._call(
                 "GET",
                 f"/v1/rows-get?{urlencode(query)}",
                 purpose=f"read {_name_table(table, first)}",
             )
-            if isinstance(answer, Unavailable):
-                return answer
-            if answer.status != 200:
-                return Unavailable(f"status {answer.status}", applied=False)
-            page = self._decode(answer)
-            if rows and stamp.find_era(rows[0].version) != answer.era:
-                return Unavailable("another era began", applied=False)
-            rows.extend(_feed_row(row, answer.era) for row in page.rows)
+            if isinstance(reply, Unavailable):
+                return reply
+            if reply.status != 200:
+                return Unavailable(f"status {reply.status}", applied=False)
+            page = self._decode(reply)
+            if rows and stamp.find_era(rows[0].version) != reply.era:
+                return Unavailable("era changed mid-scan", applied=False)
+            rows.extend(_parse_feed_row(row, reply.era) for row in page.rows)
             if not page.has_more or not page.rows:
-                return Page(
-                    tuple(rows), stamp.make_stamp(answer.era, page.ver)
-                )
+                return Page(tuple(rows), stamp.make_stamp(reply.era, page.ver))
             first = page.rows[-1].key + "\0"
 
     async def follow_table(
         self, table: str, after: int, wait: float
     ) -> Page | HistoryLost | Unavailable:
-        """Return the rows that changed after a version.
+        """Return the rows that changed after a version (long poll).
 
         Args:
             table: Name of the table.
-            after: Stamp of the version up to which everything is known.
-            wait: Seconds for which the store may hold the answer back
-                while there is no change.
+            after: Stamp up to which the caller has all changes.
+            wait: Seconds for which the store may delay the response while
+                there is no change.
         """
         era = stamp.find_era(after)
         if era != self.eras.era:
@@ -265,24 +263,24 @@
                 "wait_ms": int(wait * 1000),
             }
         )
-        answer = await self._call(
+        reply = await self._call(
             "GET",
             f"/v1/rows-feed?{query}",
             timeout=wait + FEED_TIMEOUT_MARGIN_SECONDS,
             purpose=f"follow {_name_table(table)}",
         )
-        if isinstance(answer, Unavailable):
-            return answer
-        if answer.status == 410:
+        if isinstance(reply, Unavailable):
+            return reply
+        if reply.status == 410:
             return HistoryLost()
-        if answer.status != 200:
-            return Unavailable(f"status {answer.status}", applied=False)
-        if answer.era != era:
-            # What changed up to the same version of another era is missing.
+        if reply.status != 200:
+            return Unavailable(f"status {reply.status}", applied=False)
+        if reply.era != era:
+            # Changes up to this version in the other era are missing.
             return HistoryLost()
-        page = self._decode(answer)
+        page = self._decode(reply)
         return Page(
-            tuple(_feed_row(row, era) for row in page.rows),
+            tuple(_parse_feed_row(row, era) for row in page.rows),
             stamp.make_stamp(era, page.ver),
         )
 
@@ -312,7 +310,7 @@
         self._traffic.note(purpose, "received", len(response.body))
         era = self.eras.check_reply(response.header(ERA_HEADER), known)
         if era is None:
-            return Unavailable("a late answer of an earlier era")
+            return Unavailable("stale response from an earlier era")
         return StoreReply(response.status, response.body, era)
 
 
@@ -324,7 +322,7 @@
 
 
 def _name_table(table: str, key: str = "") -> str:
-    """Return what rows are for, as operators read it in the metrics."""
+    """Return the name of a kind of rows in the metrics."""
     return _TABLE_NAMES.get(table) or key.partition("/")[0]
 
 
@@ -341,30 +339,30 @@
     return base64.b64encode(msgspec.json.encode(value)).decode()
 
 
-def _feed_row(row: _WireRow, era: int) -> FeedRow:
+def _parse_feed_row(row: _WireRow, era: int) -> FeedRow:
     version = stamp.make_stamp(era, row.ver)
     if row.deleted or row.value is None:
         return FeedRow(row.key, version, None)
     try:
         value = base64.b64decode(row.value, validate=True)
     except ValueError:
-        # Other writers may leave anything there; the decoder of the row's
-        # table says what it makes of this.
+        # Other writers may store arbitrary text; the decoder of the table
+        # reports it as invalid.
         value = row.value.encode()
     return FeedRow(row.key, version, value)
 
 
-def _own(row: _WireRow, era: int) -> Row:
-    return _own_row(_feed_row(row, era))
+def _make_row(row: _WireRow, era: int) -> Row:
+    return _parse_row(_parse_feed_row(row, era))
 
 
-def _own_row(row: FeedRow) -> Row:
+def _parse_row(row: FeedRow) -> Row:
     if row.value is None:
         return Row(row.key, row.version)
     return Row(row.key, row.version, msgspec.json.decode(row.value))
 
 
-def _order(
+def _sort_rows(
     conditions: Sequence[Condition], rows: Sequence[Row]
 ) -> tuple[Row, ...]:
     found = {row.key: row for row in rows}
--- a/lagoonpost/store/clock.py
+++ b/lagoonpost/store/clock.py
@@ -1,27 +1,31 @@
-"""Clock for bounds that must hold across pauses of a process or host."""
+"""Clocks for time limits that must hold across process and host pauses."""
 
 import time
 
 
 def read_clock() -> float:
-    """Return seconds of a monotonic clock that runs while a host sleeps.
+    """Return the seconds of a monotonic clock that includes suspend time.
 
-    ``time.monotonic`` stands still while a host is suspended, so a lease or
-    a bound on a dispatch would seem fresh when the host is resumed.
+    ``time.monotonic`` stops while a host is suspended, so an expired lease or
+    dispatch deadline would still look valid after the host resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class RemoteClock:
-    """The steady clock of another host, as its answers tell it."""
+    """Estimate of another host's monotonic clock from its responses."""
 
     def __init__(self) -> None:
-        self._ahead: float | None = None
+        self._offset: float | None = None
 
     def note(self, seconds: float) -> None:
-        """Take the time that an answer names."""
-        self._ahead = seconds - read_clock()
+        """Update the clock offset from the time in a response.
+
+        Args:
+            seconds: Remote time in seconds.
+        """
+        self._offset = seconds - read_clock()
 
     def estimate_now(self) -> float | None:
-        """Return its seconds now; None if it has not told any."""
-        return None if self._ahead is None else self._ahead + read_clock()
+        """Return the estimated remote time in seconds, or None if unknown."""
+        return None if self._offset is None else self._offset + read_clock()
--- a/lagoonpost/store/declaration.py
+++ b/lagoonpost/store/declaration.py
@@ -1,4 +1,4 @@
-"""The rows in which the platform's tables hold tickets and objects."""
+"""Row format of the tickets and declared objects, and functions to read it."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
@@ -14,25 +14,26 @@
 OBJECT_PREFIX = "object/"
 TICKET_PREFIX = "ticket/"
 RECENT_TICKETS = 64
-"""Ticket numbers kept in the revision row.
+"""Maximum number of ticket numbers kept in the revision row.
 
-A watcher that is at most this many revisions behind reads just those
-tickets: at 4,700 a day that is 20 minutes.
+A watcher that lags by at most this many revisions reads only the missing
+tickets instead of all objects. At 4,700 tickets a day this covers 20 minutes.
 """
 SCAN_PAGE_ROWS = 1000
 
 
 class ReadConflict(NamedTuple):
-    """The declaration changed while it was being read."""
+    """A ticket was committed while the declaration was being read."""
 
 
 class Head(NamedTuple):
-    """The revision row.
+    """Content of the revision row.
 
     Attributes:
-        revision: Number of tickets accepted so far.
-        recent: Their numbers, newest first, at most ``RECENT``.
-        version: Version of the row, for conditions.
+        revision: Number of accepted tickets.
+        recent: Numbers of the latest accepted tickets, newest first, at most
+            ``RECENT_TICKETS``.
+        version: Row version, for use in write conditions.
     """
 
     revision: int
@@ -41,13 +42,13 @@
 
 
 class ConsistentRead(NamedTuple):
-    """One consistent reading of all objects.
+    """Result of a consistent read of all declared objects.
 
     Attributes:
-        head: The revision row.
-        snapshot: All objects.
-        versions: Versions of the object rows by object key.
-        held: The ticket asked for, if it is stored.
+        head: Content of the revision row.
+        snapshot: All declared objects.
+        versions: Row versions by object key.
+        ticket: The requested ticket, or None if it is not stored.
     """
 
     head: Head
@@ -62,7 +63,7 @@
 
 
 def parse_head(row: Row) -> Head:
-    """Read the revision row; absent means that nothing is declared."""
+    """Parse the revision row; an absent row means revision 0."""
     if row.version == 0:
         return Head(0, (), 0)
     recent = tuple(row.value["recent"])
@@ -70,29 +71,29 @@
 
 
 def format_next_head(head: Head, number: int) -> dict[str, Any]:
-    """Return the value that follows ``head`` once ``number`` is accepted."""
+    """Return the revision row's value after ticket ``number`` is accepted."""
     recent = [number, *head.recent][:RECENT_TICKETS]
     return {"revision": head.revision + 1, "recent": recent}
 
 
 def parse_ticket_row(row: Row) -> TicketRecord | None:
-    """Read a ticket row; None if it is absent."""
+    """Parse a ticket row; return None if it is absent."""
     return None if row.version == 0 else parse_record(row.value)
 
 
 def parse_record(value: Any) -> TicketRecord:
-    """Read a ticket record from plain data, as rows and peers have it."""
+    """Build a ticket record from the built-in types used in rows and RPCs."""
     fields = {name: value[name] for name in TicketRecord._fields}
     return TicketRecord(**fields)
 
 
 def format_record(record: TicketRecord) -> dict[str, Any]:
-    """Return ``record`` as plain data."""
+    """Convert a ticket record to built-in types."""
     return record._asdict()
 
 
 def format_snapshot(snapshot: Snapshot) -> dict[str, Any]:
-    """Return ``snapshot`` as plain data, for peers."""
+    """Convert a snapshot to built-in types, to send it to peers."""
     objects = {
         key: [record.ticket, record.state]
         for key, record in snapshot.objects.items()
@@ -101,7 +102,7 @@
 
 
 def parse_snapshot(value: Any) -> Snapshot:
-    """Read a snapshot from plain data."""
+    """Build a snapshot from built-in types."""
     objects = {
         key: ObjectRecord(ticket, state)
         for key, (ticket, state) in value["objects"].items()
@@ -118,7 +119,7 @@
 async def read_tickets(
     store: Store, numbers: Sequence[int]
 ) -> list[TicketRecord | None] | Unavailable:
-    """Read tickets by number; None for each that is absent."""
+    """Read tickets by number; absent tickets are returned as None."""
     rows = await store.read([make_ticket_key(number) for number in numbers])
     if isinstance(rows, Unavailable):
         return rows
@@ -128,13 +129,21 @@
 async def read_declaration(
     store: Store, number: int = 0
 ) -> ConsistentRead | ReadConflict | Unavailable:
-    """Read all objects, and ticket ``number``, as of one moment.
+    """Read all objects and ticket ``number`` consistently.
 
-    A scan takes several calls, and a ticket may commit between them. Half
-    of its objects would then be seen without the other half, and a ticket
-    that fits what is declared would be refused. Every ticket changes the
-    revision row, so equal rows before and after the scan prove that nothing
-    changed between.
+    A scan takes several calls, and a ticket may commit between them. The scan
+    would then return only some of the ticket's objects, and the gateway would
+    refuse a valid later ticket. Every ticket changes the revision row, so an
+    unchanged row version before and after the scan proves that the scan is
+    consistent.
+
+    Args:
+        store: Table service.
+        number: Number of a ticket to read along with the objects.
+
+    Returns:
+        The objects, `ReadConflict` if a ticket was committed during the scan,
+        or `Unavailable` if the store does not answer.
     """
     head = await read_head(store)
     if isinstance(head, Unavailable):
@@ -142,10 +151,10 @@
     rows = await _scan_objects(store)
     if isinstance(rows, Unavailable):
         return rows
-    ends = await store.read([REVISION_KEY, make_ticket_key(number)])
-    if isinstance(ends, Unavailable):
-        return ends
-    if ends[0].version != head.version:
+    final_rows = await store.read([REVISION_KEY, make_ticket_key(number)])
+    if isinstance(final_rows, Unavailable):
+        return final_rows
+    if final_rows[0].version != head.version:
         return ReadConflict()
     objects, versions = {}, {}
     for row in rows:
@@ -153,7 +162,9 @@
         objects[key] = ObjectRecord(row.value["ticket"], row.value["state"])
         versions[key] = row.version
     snapshot = Snapshot(head.revision, objects)
-    return ConsistentRead(head, snapshot, versions, parse_ticket_row(ends[1]))
+    return ConsistentRead(
+        head, snapshot, versions, parse_ticket_row(final_rows[1])
+    )
 
 
 async def _scan_objects(store: Store) -> list[Row] | Unavailable:
--- a/lagoonpost/store/era.py
+++ b/lagoonpost/store/era.py
@@ -1,4 +1,4 @@
-"""Tells which copy of the store an answer is from."""
+"""Tracks the store's era, which increases with each restore from a backup."""
 
 from collections.abc import Callable
 
@@ -8,53 +8,55 @@
 
 
 class EraTracker:
-    """The newest era that is known.
+    """Tracks the highest known era of the store.
 
     Attributes:
-        era: Its number; 0 for a store that names none.
-        on_era: Told when the store came back from an older copy.
+        era: Highest known era; 0 if the store does not report eras.
+        era_listeners: Called after the store was restored from an older copy.
     """
 
     def __init__(self) -> None:
         self.era = 0
         self.era_listeners: list[Callable[[], None]] = []
-        self._complaints: set[str] = set()
+        self._logged_texts: set[str] = set()
 
     def note(self, era: int) -> None:
-        """Take an era that an answer or a peer named."""
+        """Advance to an era from a response or a peer; ignore older eras."""
         if era <= self.era:
             return
         eliot.log_message(
             message_type="lagoonpost:store:era", era=era, before=self.era
         )
         self.era = era
-        for told in self.era_listeners:
-            told()
+        for listener in self.era_listeners:
+            listener()
 
     def check_reply(self, text: str | None, sent: int) -> int | None:
-        """Return the era of an answer.
+        """Return the era of a store response and advance to it.
 
         Args:
-            text: The era as the answer names it; None if it names none.
-            sent: The era that was known when the call was sent.
+            text: Value of the era header, or None if it is absent.
+            sent: Highest known era when the request was sent.
 
         Returns:
-            The era, or None if the answer is late and from an earlier one.
+            The era, or None if the response is stale: the era has advanced
+            since the request was sent.
         """
         era = 0 if text is None else _parse(text)
         if era is None or era < sent:
-            # The call was sent in a later era, so that this one is wrong.
-            self._complain(str(text))
+            # Eras only increase, so an era below that of the request is
+            # invalid.
+            self._log_unreadable(str(text))
             return self.era
         if era < self.era:
             return None
         self.note(era)
         return era
 
-    def _complain(self, text: str) -> None:
-        if text in self._complaints:
+    def _log_unreadable(self, text: str) -> None:
+        if text in self._logged_texts:
             return
-        self._complaints.add(text)
+        self._logged_texts.add(text)
         eliot.log_message(
             message_type="lagoonpost:store:era_unreadable",
             era=text,
--- a/lagoonpost/store/health.py
+++ b/lagoonpost/store/health.py
@@ -1,17 +1,18 @@
-"""Tells at once whether the store is worth a call.
-
-Load: an outage of the store under a steady stream of bookings. Without this
-each of them waits for the store's timeout and then ends as ``unknown``, since
-a write that was sent may have taken effect. With it only those under way when
-the outage begins do; all later ones are refused at once as not run.
-
-One failed call makes the store suspect: a read follows, and calls wait for
-it, so that one lost reply costs nobody a refusal. If the read fails as well,
-calls are refused until a later read succeeds. A probe has as long as any
-call, so that a store that is slow, but answers in time, is not given up.
-Probes come every ``PROBE_SECONDS``: at 320 gateways that is 640 reads a
-second, a third of what the store is rated for, and a gateway serves again at
-most that long after the store does.
+"""Circuit breaker for the store: fails calls fast during an outage.
+
+Load pattern: a store outage under a steady stream of bookings. Without the
+breaker, every booking waits for the store's timeout and then ends as
+``unknown``, because a write that was sent may have taken effect. With it,
+only the bookings in flight when the outage begins do so; later bookings are
+refused at once as not run.
+
+One failed call makes the store ``suspect``: a probe read follows and new
+calls wait for its result, so a single lost reply causes no refusals. If the
+probe fails as well, calls are refused until a later probe succeeds. A probe
+has the same timeout as any other call, so a store that is slow but answers in
+time is not marked as down. Probes run every ``PROBE_SECONDS``: at 320
+gateways this is 640 reads a second, a third of the store's rated load, and a
+gateway resumes at most that long after the store recovers.
 """
 
 import asyncio
@@ -28,37 +29,38 @@
 
 
 class StoreHealth:
-    """State of the store as one process sees it.
+    """Health of the store as observed by one process.
 
     Attributes:
-        state: ``up``, ``suspect`` after a failure, or ``down``.
+        state: ``up``, ``suspect`` after a failed call, or ``down`` after a
+            failed probe.
     """
 
     def __init__(self, store: Store) -> None:
         self.state: State = "up"
-        self._since = 0.0
+        self._down_since = 0.0
         self._store = store
         self._probing: asyncio.Task[None] | None = None
         self._first_probe = asyncio.Event()
 
     async def check(self) -> bool:
-        """Tell whether to call the store, after a probe if in doubt."""
+        """Return whether to call the store; wait for a probe if suspect."""
         if self.state == "suspect":
             await self._first_probe.wait()
         return self.state == "up"
 
     def get_outage_seconds(self) -> float:
-        """Return for how many seconds the store has not answered."""
+        """Return the duration of the current outage in seconds, or 0.0."""
         if self.state == "up":
             return 0.0
-        return asyncio.get_running_loop().time() - self._since
+        return asyncio.get_running_loop().time() - self._down_since
 
     def report_failure(self) -> None:
-        """Take note that a call got no answer."""
+        """Record a call without a response and start probing."""
         if self.state != "up":
             return
         self.state = "suspect"
-        self._since = asyncio.get_running_loop().time()
+        self._down_since = asyncio.get_running_loop().time()
         self._first_probe.clear()
         self._probing = asyncio.create_task(self._probe())
 
@@ -68,16 +70,16 @@
             self._probing.cancel()
 
     async def _probe(self) -> None:
-        while not await self._answers():
-            self._enter("down")
+        while not await self._is_reachable():
+            self._set_state("down")
             await asyncio.sleep(PROBE_SECONDS)
-        self._enter("up")
+        self._set_state("up")
 
-    async def _answers(self) -> bool:
+    async def _is_reachable(self) -> bool:
         outcome = await self._store.read([PROBE_KEY])
         return not isinstance(outcome, Unavailable)
 
-    def _enter(self, state: State) -> None:
+    def _set_state(self, state: State) -> None:
         if state != self.state:
             eliot.log_message(
                 message_type="lagoonpost:platform:store_health", state=state
--- a/lagoonpost/store/lease.py
+++ b/lagoonpost/store/lease.py
@@ -1,4 +1,4 @@
-"""Driver of one lease: keeps it in the store as its decisions say."""
+"""Acquires, renews and releases one lease, following `systems.lease`."""
 
 import asyncio
 from collections.abc import Iterator
@@ -47,10 +47,11 @@
 
 
 class LeasedCall:
-    """A call that is made by a lease.
+    """A call made under a lease.
 
     Attributes:
-        answered: Whether its effect is known.
+        answered: Whether a response arrived, so that the call's effect is
+            known.
     """
 
     def __init__(self) -> None:
@@ -58,17 +59,17 @@
 
 
 class LeaseManager:
-    """Takes, renews and releases one lease.
+    """Acquires, renews and releases one lease.
 
     Args:
         store: Table service.
         name: Name of the lease.
         holder: Name of this process.
-        nonce: Unique to this process.
-        policy: Times of the lease.
+        nonce: Identifier unique to this process instance.
+        policy: Durations of the lease.
 
     Attributes:
-        lease: The lease as this process sees it.
+        lease: State of the lease as known to this process.
     """
 
     def __init__(
@@ -85,32 +86,39 @@
         self._changed = asyncio.Event()
 
     def is_held(self) -> bool:
-        """Tell whether this process may work by the lease right now."""
+        """Return whether this process may act as the lease holder now."""
         return may_work(self.lease, read_clock())
 
     def may_order(self, checks_fence: bool) -> bool:
-        """Tell whether an order may leave at this moment."""
+        """Return whether an order may be sent now.
+
+        Args:
+            checks_fence: Whether the recipient rejects outdated fencing
+                numbers.
+        """
         return may_order(self.lease, read_clock(), checks_fence)
 
     @property
     def fence(self) -> int:
-        """Fencing number of the lease, to be sent with each order."""
+        """Fencing number of the lease, sent with each order."""
         return get_fence(self.lease)
 
     def handle_store_restore(self, era: int) -> None:
-        """Note that the store came back from an older copy.
+        """Handle a restore of the store from an older copy.
 
         Args:
-            era: Number of such returns, which fences have to be above.
+            era: New era of the store; fencing numbers must be above those of
+                earlier eras.
         """
         self.lease = handle_store_rollback(self.lease, era, read_clock())
 
     def set_wanted(self, wanted: bool, delay: float = 0.0) -> None:
-        """Ask for the lease, or for its release once work has stopped.
+        """Request the lease, or its release once all calls have ended.
 
         Args:
-            wanted: Whether to hold it.
-            delay: Seconds to leave to contenders that come before.
+            wanted: Whether to hold the lease.
+            delay: Seconds to wait so that preferred contenders can acquire
+                the lease first.
         """
         if (wanted, delay) != (self.lease.wanted, self.lease.delay):
             self.lease = self.lease._replace(wanted=wanted, delay=delay)
@@ -118,7 +126,7 @@
 
     @contextmanager
     def call(self) -> Iterator[LeasedCall]:
-        """Keep the lease from being released while a call is under way."""
+        """Defer the release of the lease while a call is in flight."""
         call = LeasedCall()
         sent = read_clock()
         self.lease = begin_call(self.lease)
@@ -131,20 +139,21 @@
                 self._changed.set()
 
     async def release(self) -> None:
-        """Give the lease away, once no call is under way.
+        """Release the lease once no call is in flight.
 
-        If that takes long, or the store does not answer for a while, this
-        returns before it: the lease is released later, or ends by itself.
+        Returns after the retry interval of the policy even if the lease is
+        still held, for example because the store does not answer: the lease
+        is then released later or expires.
         """
         self.set_wanted(False)
         try:
             async with asyncio.timeout(self.lease.policy.retry):
-                while self._is_ours():  # noqa: ASYNC110
+                while self._owns_row():  # noqa: ASYNC110
                     await asyncio.sleep(RELEASE_POLL_SECONDS)
         except TimeoutError:
             pass
 
-    def _is_ours(self) -> bool:
+    def _owns_row(self) -> bool:
         row = self.lease.row
         return (
             row is not None
@@ -153,17 +162,17 @@
         )
 
     async def run(self) -> None:
-        """Keep the lease until cancelled."""
+        """Acquire and renew the lease until cancelled."""
         while True:
-            before, held = self.lease, self.is_held()
+            previous, was_held = self.lease, self.is_held()
             self.lease, action = choose_action(self.lease, read_clock())
             match action:
                 case Pause(seconds):
                     await self._pause(seconds)
                 case Put() | Read():
                     await self._call(action)
-            if held != self.is_held():
-                self._log(before)
+            if was_held != self.is_held():
+                self._log_change(previous)
 
     async def _call(self, action: Put | Read) -> None:
         reply = await self._perform(action)
@@ -176,7 +185,9 @@
         if isinstance(action, Read):
             rows = await self._store.read([self._key])
             return (
-                NoReply() if isinstance(rows, Unavailable) else _see(rows[0])
+                NoReply()
+                if isinstance(rows, Unavailable)
+                else _make_seen(rows[0])
             )
         outcome = await self._store.transact(
             [Condition(self._key, action.version)],
@@ -186,7 +197,7 @@
             case Committed(rows):
                 return Stored(rows[0].version)
             case Conflict(rows):
-                return _see(rows[0])
+                return _make_seen(rows[0])
             case Unavailable():
                 return NoReply()
 
@@ -198,7 +209,7 @@
         except TimeoutError:
             pass
 
-    def _log(self, before: Lease) -> None:
+    def _log_change(self, previous: Lease) -> None:
         now = read_clock()
         held = self.is_held()
         eliot.log_message(
@@ -207,13 +218,15 @@
             holder=self.lease.holder,
             held=held,
             fence=self.fence,
-            cause=classify_gain(before) if held else classify_loss(self.lease),
-            before=before.row._asdict() if before.row else None,
-            seconds=None if held else round(now - before.acquired, 3),
+            cause=classify_gain(previous)
+            if held
+            else classify_loss(self.lease),
+            before=previous.row._asdict() if previous.row else None,
+            seconds=None if held else round(now - previous.acquired, 3),
         )
 
 
-def _see(row: Row) -> CurrentRow:
+def _make_seen(row: Row) -> CurrentRow:
     return CurrentRow(row.version, _decode(row.value))
 
 
--- a/lagoonpost/store/ledger.py
+++ b/lagoonpost/store/ledger.py
@@ -1,4 +1,4 @@
-"""Driver of the booking ledger: carries out its decisions on the store."""
+"""Runs bookings at most once, recording each in the ledger in the store."""
 
 import asyncio
 import secrets
@@ -53,29 +53,29 @@
 
 
 class Dispatcher(Protocol):
-    """Chooses runners for one booking and sends it to them."""
+    """Chooses runners for one booking and sends the booking to them."""
 
     async def choose(self) -> RunnerChosen | NoRunner:
-        """Choose the next runner to try."""
+        """Choose the next runner for the booking."""
 
     async def send(
         self, may_send: Callable[[], bool]
     ) -> Answered | NotRun | Lost:
-        """Send to the chosen runner.
+        """Send the booking to the chosen runner.
 
         Args:
-            may_send: To be asked right before the first byte leaves;
-                if it says no, nothing is sent.
+            may_send: Called right before the first byte is sent; if it
+                returns False, nothing is sent.
         """
 
 
 class Ledger:
-    """Takes bookings, each at most once.
+    """Runs bookings, each at most once.
 
     Args:
         store: Table service.
         gateway: Name of this process, written into claims.
-        policy: Times of the ledger.
+        policy: Timeouts and retention times of the ledger.
     """
 
     def __init__(
@@ -93,16 +93,19 @@
     async def run_booking(
         self, key: str, digest: str, timeout: float, dispatcher: Dispatcher
     ) -> Outcome:
-        """Run a booking unless its key has been used, and say what came.
+        """Run a booking unless its key has been used.
 
-        The attempt goes on when the caller of this is cancelled, and after
-        its outcome is known until that is written down.
+        The attempt continues if the caller is cancelled, and also after the
+        outcome is known until it is recorded in the ledger.
 
         Args:
             key: Key of the ledger row.
             digest: Digest of the request.
-            timeout: Seconds the runner has for its answer.
-            dispatcher: Reaches the runners.
+            timeout: Seconds the runner has to answer.
+            dispatcher: Chooses runners and sends the booking to them.
+
+        Returns:
+            The outcome of this attempt or of the earlier one with this key.
         """
         claim = make_claim(
             secrets.token_hex(NONCE_BYTES),
@@ -115,16 +118,16 @@
         answer = asyncio.get_running_loop().create_future()
         task = asyncio.create_task(self._run(key, claim, dispatcher, answer))
         self._tasks.add(task)
-        task.add_done_callback(lambda done: self._end(done, answer))
+        task.add_done_callback(lambda task: self._finish_task(task, answer))
         outcome: Outcome = await answer
         return outcome
 
     def get_outage_seconds(self) -> float:
-        """Return for how many seconds the store has not answered."""
+        """Return the duration of the current store outage in seconds."""
         return self._health.get_outage_seconds()
 
     async def close(self, grace: float) -> None:
-        """Let open attempts end within ``grace`` seconds."""
+        """Wait up to ``grace`` seconds for open attempts, then cancel them."""
         if self._tasks:
             await asyncio.wait(tuple(self._tasks), timeout=grace)
         for task in tuple(self._tasks):
@@ -154,7 +157,7 @@
         action: Action,
         dispatcher: Dispatcher,
     ) -> Event | None:
-        """Carry out ``action``; None if it is an answer to the caller."""
+        """Perform ``action``; return None if it is the caller's outcome."""
         match action:
             case Put(version, entry, delay):
                 if delay:
@@ -180,7 +183,7 @@
             case Unavailable(_, applied):
                 return NoReply(applied)
 
-    def _end(
+    def _finish_task(
         self, task: asyncio.Task[None], answer: asyncio.Future[Outcome]
     ) -> None:
         self._tasks.discard(task)
@@ -190,11 +193,13 @@
             answer.cancel()
             return
         error = task.exception()
-        answer.set_exception(error or AssertionError("no outcome"))
+        answer.set_exception(
+            error or AssertionError("the attempt ended without an outcome")
+        )
 
 
 def decode_entry(value: Any) -> LedgerEntry | None:
-    """Return the entry in a row's value; None for an absent row."""
+    """Decode the entry in a row's value; return None for an absent row."""
     if value is None:
         return None
     return msgspec.convert(value, LedgerEntry)
@@ -203,16 +208,16 @@
 async def delete_expired(
     store: Store, after: str, limit: int = 256
 ) -> str | None:
-    """Delete expired rows of one page of the ledger.
+    """Delete the expired rows of one page of the ledger.
 
     Args:
         store: Table service.
-        after: Where the page before ended; empty for the first.
-        limit: Rows in a page, and most rows of one transaction.
+        after: Last key of the previous page; empty for the first page.
+        limit: Maximum number of rows in a page and in one transaction.
 
     Returns:
-        Where this page ended; empty after the last page, None if the store
-        gave no answer.
+        Last key of this page; empty after the last page; None if the store
+        did not answer.
     """
     rows = await store.scan(LEDGER_PREFIX, after, limit)
     if isinstance(rows, Unavailable):
@@ -225,8 +230,8 @@
     }
     expired = find_expired(entries, time.time())
     if expired:
-        # A row that changes meanwhile makes the transaction fail whole; the
-        # next round finds the rest.
+        # If a row changes concurrently, the whole transaction fails; the next
+        # sweep deletes the rows that are still expired.
         outcome = await store.transact(
             [Condition(key, versions[key]) for key in expired],
             [Write(key, None) for key in expired],
--- a/lagoonpost/store/reclaim_notices.py
+++ b/lagoonpost/store/reclaim_notices.py
@@ -1,4 +1,4 @@
-"""Reclaim notices of the platform's cloud API."""
+"""Client for the reclaim notices of the platform's cloud API."""
 
 from typing import NamedTuple
 
@@ -12,11 +12,11 @@
 
 
 class ReclaimNotice(NamedTuple):
-    """A host will be reclaimed.
+    """Notice that the cloud is about to reclaim a host.
 
     Attributes:
         host: Name of the host.
-        deadline: Time of the reclaim in seconds since the epoch.
+        deadline: Reclaim time in seconds since the Unix epoch.
     """
 
     host: str
@@ -35,17 +35,22 @@
 async def fetch_notices(
     client: Client, address: Address
 ) -> tuple[ReclaimNotice, ...] | Unavailable:
-    """Return the reclaim notices in force."""
+    """Fetch the active reclaim notices.
+
+    Returns:
+        The notices, or `Unavailable` if the call fails or the response
+        cannot be decoded.
+    """
     try:
-        answer = await client.call(
+        response = await client.call(
             address, "GET", "/v1/notices", timeout=CALL_TIMEOUT_SECONDS
         )
     except CallFailedError as error:
         return Unavailable(str(error))
-    if answer.status != 200:
-        return Unavailable(f"status {answer.status}")
+    if response.status != 200:
+        return Unavailable(f"status {response.status}")
     try:
-        found = msgspec.json.decode(answer.body, type=_NoticesObject).notices
+        found = msgspec.json.decode(response.body, type=_NoticesObject).notices
     except msgspec.DecodeError as error:
         return Unavailable(str(error))
     return tuple(
--- a/lagoonpost/store/store.py
+++ b/lagoonpost/store/store.py
@@ -1,4 +1,4 @@
-"""The platform's table service as the product needs it."""
+"""Interface of a transactional key-value store, and its result types."""
 
 import asyncio
 from collections.abc import Sequence
@@ -6,7 +6,7 @@
 
 
 class Row(NamedTuple):
-    """A stored row; ``version`` is 0 for an absent one and then grows."""
+    """A row; ``version`` is 0 if it is absent and grows with each write."""
 
     key: str
     version: int
@@ -14,36 +14,42 @@
 
 
 class Condition(NamedTuple):
-    """The row ``key`` must have exactly this version; 0 is absent."""
+    """Requires row ``key`` to have this version; 0 means absent."""
 
     key: str
     version: int
 
 
 class Write(NamedTuple):
-    """Set row ``key`` to a JSON value; None deletes it."""
+    """Sets row ``key`` to a JSON value; None deletes the row."""
 
     key: str
     value: Any
 
 
 class Committed(NamedTuple):
-    """The transaction took effect; ``rows`` are the written ones."""
+    """The transaction was applied; ``rows`` holds the written rows."""
 
     rows: tuple[Row, ...]
 
 
 class Conflict(NamedTuple):
-    """A condition failed, nothing was written; ``rows`` are as they are."""
+    """A condition failed and nothing was written.
+
+    Attributes:
+        rows: Current rows of all conditions.
+    """
 
     rows: tuple[Row, ...]
 
 
 class Unavailable(NamedTuple):
-    """The service did not answer.
+    """The call failed.
 
-    ``applied`` is False when the call surely had no effect, and None when a
-    write may have taken effect with its reply lost.
+    Attributes:
+        detail: Reason of the failure.
+        applied: False if the call certainly had no effect; None if a write
+            may have taken effect although its response was lost.
     """
 
     detail: str
@@ -51,36 +57,37 @@
 
 
 class Store(Protocol):
-    """Transactions, reads and scans; outcomes are values."""
+    """Transactional key-value store; failures are returned, not raised."""
 
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> Committed | Conflict | Unavailable:
-        """Apply all ``writes`` if all ``conditions`` hold, or nothing."""
+        """Apply all ``writes`` atomically if all ``conditions`` hold."""
 
     async def read(self, keys: Sequence[str]) -> tuple[Row, ...] | Unavailable:
-        """Return one row for each key, in order."""
+        """Return one row per key, in the order of ``keys``."""
 
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...] | Unavailable:
-        """Return rows with keys that start with ``prefix``, in key order.
+        """Return rows whose keys start with ``prefix``, in key order.
 
         Args:
-            prefix: What keys start with.
+            prefix: Prefix of the keys.
             after: Return only keys greater than this one.
-            limit: Most rows to return.
+            limit: Maximum number of rows to return.
         """
 
 
 MIN_RETRY_SECONDS = 0.25
-"""Least time between failing calls: four a second from each gateway."""
+"""Minimum interval between failing calls: four per second and gateway."""
 
 
 async def pause_after_failure(call_seconds: float) -> None:
-    """Wait before the store is called again.
+    """Wait until the store may be called again after a failed call.
 
     Args:
-        spent: Seconds that the failed call took, which count as waited.
+        call_seconds: Duration of the failed call, counted as part of the
+            pause.
     """
     await asyncio.sleep(max(0.0, MIN_RETRY_SECONDS - call_seconds))
--- a/lagoonpost/store/table.py
+++ b/lagoonpost/store/table.py
@@ -1,4 +1,4 @@
-"""Store over the table service's HTTP interface."""
+"""Client of the table service's HTTP API, implementing `Store`."""
 
 from collections.abc import Sequence
 from typing import Any, TypedDict
@@ -20,7 +20,7 @@
 
 
 class RowObject(TypedDict):
-    """A row as the service writes it."""
+    """A row in the service's JSON format."""
 
     key: str
     version: int
@@ -28,18 +28,18 @@
 
 
 class RowsObject(TypedDict):
-    """What the service answers to every operation."""
+    """JSON body of the service's responses to all operations."""
 
     rows: list[RowObject]
 
 
 class TableStore:
-    """Store that calls one table service.
+    """Store backed by one table service.
 
     Args:
         client: HTTP client.
-        address: Where the service listens.
-        timeout: Seconds for one operation.
+        address: Address of the service.
+        timeout: Timeout of one operation in seconds.
     """
 
     def __init__(
@@ -55,49 +55,49 @@
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> Committed | Conflict | Unavailable:
-        """Apply all ``writes`` if all ``conditions`` hold, or nothing."""
-        order = {
+        """Apply all ``writes`` atomically if all ``conditions`` hold."""
+        request = {
             "conditions": [condition._asdict() for condition in conditions],
             "writes": [write._asdict() for write in writes],
         }
-        answer = await self._call("transact", order)
-        if isinstance(answer, Unavailable):
-            return answer
-        if answer.status not in (200, 409):
-            return Unavailable(f"status {answer.status}")
-        rows = _decode_rows(answer)
+        response = await self._call("transact", request)
+        if isinstance(response, Unavailable):
+            return response
+        if response.status not in (200, 409):
+            return Unavailable(f"status {response.status}")
+        rows = _decode_rows(response)
         if isinstance(rows, Unavailable):
             return rows
-        return Committed(rows) if answer.status == 200 else Conflict(rows)
+        return Committed(rows) if response.status == 200 else Conflict(rows)
 
     async def read(self, keys: Sequence[str]) -> tuple[Row, ...] | Unavailable:
-        """Return one row for each key, in order."""
+        """Return one row per key, in the order of ``keys``."""
         rows = await self._fetch("read", {"keys": list(keys)})
         if not isinstance(rows, Unavailable) and len(rows) != len(keys):
-            return Unavailable("not one row for each key")
+            return Unavailable("response does not have one row per key")
         return rows
 
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...] | Unavailable:
-        """Return rows with keys that start with ``prefix``, in key order."""
-        order = {"prefix": prefix, "after": after, "limit": limit}
-        return await self._fetch("scan", order)
+        """Return rows whose keys start with ``prefix``, in key order."""
+        request = {"prefix": prefix, "after": after, "limit": limit}
+        return await self._fetch("scan", request)
 
     async def _fetch(
-        self, operation: str, order: object
+        self, operation: str, request: object
     ) -> tuple[Row, ...] | Unavailable:
-        answer = await self._call(operation, order)
-        if isinstance(answer, Unavailable):
-            return answer
-        if answer.status != 200:
-            return Unavailable(f"status {answer.status}")
-        return _decode_rows(answer)
+        response = await self._call(operation, request)
+        if isinstance(response, Unavailable):
+            return response
+        if response.status != 200:
+            return Unavailable(f"status {response.status}")
+        return _decode_rows(response)
 
     async def _call(
-        self, operation: str, order: object
+        self, operation: str, request: object
     ) -> Response | Unavailable:
-        body = msgspec.json.encode(order)
+        body = msgspec.json.encode(request)
         try:
             return await self._client.call(
                 self._address,
@@ -108,17 +108,17 @@
                 timeout=self._timeout,
             )
         except CallFailedError as error:
-            # A reply lost after a write took effect looks the same as a
-            # request lost before it. Only a call that was never sent is
-            # reported as without effect; callers settle all others by
-            # reading.
+            # A response lost after a write was applied looks the same as a
+            # request lost before that. Only a request that was never sent is
+            # reported as not applied; after other failures, callers read
+            # the rows to find out.
             applied = None if error.sent else False
             return Unavailable(str(error), applied)
 
 
-def _decode_rows(answer: Response) -> tuple[Row, ...] | Unavailable:
+def _decode_rows(response: Response) -> tuple[Row, ...] | Unavailable:
     try:
-        decoded = msgspec.json.decode(answer.body, type=RowsObject)
+        decoded = msgspec.json.decode(response.body, type=RowsObject)
     except msgspec.DecodeError as error:
         return Unavailable(f"unreadable reply: {error}")
     return tuple(
--- a/lagoonpost/store/ticket.py
+++ b/lagoonpost/store/ticket.py
@@ -1,4 +1,4 @@
-"""Takes change tickets: one transaction each, settled by reading back."""
+"""Commits change tickets in one transaction each and reads them back."""
 
 import asyncio
 import hashlib
@@ -40,19 +40,22 @@
     Unsettled,
 )
 
-WROTE_NOTHING = "this hand-in wrote nothing; another one may have"
-"""Said with the cause where no write of this hand-in can take effect. It
-can't be told here whether the ticket is under way at another gateway."""
+WROTE_NOTHING = "this submission wrote nothing; another one may have"
+"""Added to the failure detail if no write of this submission can take effect.
+
+The same ticket may still be in flight at another gateway.
+"""
 
 
 class RetryPolicy(NamedTuple):
-    """How long to try before the operator is told to come back.
+    """Retries before a submission is reported as unsettled.
 
     Attributes:
-        tries: Readings and writes of the store. Racing operators cost one
-            another a try each; more than this many at once is no habit.
-        pause: Seconds before the second try; doubled for each later one,
-            so that all tries together wait 1.5 s by default.
+        tries: Maximum number of attempts, each a read and a write.
+            Concurrent submissions cost each other one attempt each; more
+            concurrent operators than this are unusual.
+        backoff_seconds: Delay before the second attempt in seconds; doubled
+            for each later attempt, 1.5 s in total by default.
     """
 
     tries: int = 5
@@ -60,7 +63,15 @@
 
 
 class TicketStore:
-    """Takes tickets on one gateway; any number may work side by side."""
+    """Commits and reads tickets; many gateways may do so concurrently.
+
+    Args:
+        store: Table service.
+        retry_policy: Number of attempts and the delay between them.
+        clock: Returns the time of acceptance in seconds since the Unix
+            epoch.
+        sleep: Waits for a number of seconds.
+    """
 
     def __init__(
         self,
@@ -70,15 +81,15 @@
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._store = store
-        self._patience = retry_policy or RetryPolicy()
+        self._retry_policy = retry_policy or RetryPolicy()
         self._clock = clock
         self._sleep = sleep
 
     async def submit(self, ticket: Ticket, operator: str) -> TicketOutcome:
-        """Commit ``ticket`` or say why not.
+        """Commit ``ticket`` or return the reason why not.
 
-        The outcome is final but for `Unsettled`: then the same ticket,
-        handed in again at any gateway, gets the one answer.
+        Every outcome but `Unsettled` is final. After `Unsettled`, submitting
+        the same ticket again at any gateway returns the final outcome.
         """
         outcome = await self._settle(ticket, operator)
         eliot.log_message(
@@ -92,7 +103,7 @@
         return outcome
 
     async def find(self, number: int) -> TicketRecord | Unavailable | None:
-        """Return an accepted ticket."""
+        """Return the accepted ticket with this number, or None."""
         found = await read_tickets(self._store, [number])
         return found if isinstance(found, Unavailable) else found[0]
 
@@ -110,30 +121,30 @@
 
     async def _settle(self, ticket: Ticket, operator: str) -> TicketOutcome:
         digest = compute_digest(ticket)
-        doubt = _Doubt()
+        in_doubt = _InDoubtWrite()
         detail = ""
-        for turn in range(self._patience.tries):
-            if turn:
+        for attempt in range(self._retry_policy.tries):
+            if attempt:
                 await self._sleep(
-                    self._patience.backoff_seconds * 2 ** (turn - 1)
+                    self._retry_policy.backoff_seconds * 2 ** (attempt - 1)
                 )
             reading = await read_declaration(self._store, ticket.number)
             if isinstance(reading, ReadConflict):
-                detail = "other tickets were accepted meanwhile"
+                detail = "other tickets were accepted concurrently"
                 continue
             if isinstance(reading, Unavailable):
                 detail = reading.detail
                 continue
-            doubt.clear(reading.head.version)
+            in_doubt.resolve(reading.head.version)
             verdict = evaluate_ticket(
                 ticket, digest, reading.snapshot, reading.ticket
             )
             if isinstance(verdict, Accepted | Refused):
                 return verdict
             detail = await self._commit(
-                ticket, digest, operator, reading, verdict, doubt
+                ticket, digest, operator, reading, verdict, in_doubt
             )
-        if not doubt.stands:
+        if not in_doubt.exists:
             detail = f"{detail}; {WROTE_NOTHING}"
         return Unsettled(detail)
 
@@ -144,9 +155,12 @@
         operator: str,
         reading: ConsistentRead,
         verdict: Committable,
-        doubt: "_Doubt",
+        in_doubt: "_InDoubtWrite",
     ) -> str:
-        """Write once; the next reading tells whether it took effect."""
+        """Write the ticket once and return a detail in case tries run out.
+
+        The next read determines whether the write took effect.
+        """
         record = TicketRecord(
             number=ticket.number,
             revision=verdict.snapshot.revision,
@@ -161,37 +175,37 @@
         )
         match outcome:
             case Committed():
-                doubt.raise_at(reading.head.version)
+                in_doubt.mark(reading.head.version)
                 return "the ticket was written but not yet read back"
             case Conflict():
-                return "other tickets were accepted meanwhile"
+                return "other tickets were accepted concurrently"
             case Unavailable(detail, applied):
                 if applied is None:
-                    doubt.raise_at(reading.head.version)
+                    in_doubt.mark(reading.head.version)
                 return detail
 
 
-class _Doubt:
-    """Whether a write of one hand-in may still take effect.
+class _InDoubtWrite:
+    """Tracks whether a write of one submission may still take effect.
 
-    The platform may lose a reply after the write took effect, or deliver a
-    write late. It shows as an absent ticket that is accepted a moment after
-    the operator was told that nothing was written. Every write is conditional
-    on the revision row's version, so that once this has grown no earlier
-    write can take effect any more.
+    The platform may lose the response to an applied write, or apply a write
+    late. Without this check, an operator may be told that nothing was written
+    although the ticket is accepted a moment later. Every write is conditional
+    on the version of the revision row, so no earlier write can take effect
+    once that version has grown.
     """
 
     def __init__(self) -> None:
         self._version: int | None = None
 
     @property
-    def stands(self) -> bool:
+    def exists(self) -> bool:
         return self._version is not None
 
-    def raise_at(self, version: int) -> None:
+    def mark(self, version: int) -> None:
         self._version = version
 
-    def clear(self, version: int) -> None:
+    def resolve(self, version: int) -> None:
         if self._version is not None and version > self._version:
             self._version = None
 
@@ -205,8 +219,8 @@
 def _list_conditions(
     ticket: Ticket, reading: ConsistentRead
 ) -> list[Condition]:
-    # The revision row alone would do. The ticket and its objects are named
-    # as well, so that a row repaired by hand is not overwritten unseen.
+    # The condition on the revision row would suffice. Conditions on the ticket
+    # and its objects ensure that rows repaired by hand are not overwritten.
     return [
         Condition(REVISION_KEY, reading.head.version),
         Condition(make_ticket_key(ticket.number), 0),
--- a/lagoonpost/store/watch.py
+++ b/lagoonpost/store/watch.py
@@ -1,4 +1,4 @@
-"""Keeps a gateway at the highest declaration that it can learn of."""
+"""Keeps a gateway at the highest declaration revision it can obtain."""
 
 import asyncio
 import time
@@ -19,49 +19,51 @@
 from lagoonpost.tables.ticket import Snapshot, TicketRecord
 
 POLL_SECONDS = 1.0
-"""Between polls: one row read a second and gateway, when nothing changes."""
+"""Poll interval; costs one row read per second and gateway without changes."""
 STORE_TIMEOUT_SECONDS = 1.0
-"""Longest wait for the store before peers are asked instead."""
+"""Timeout of the store before peers are asked instead."""
 PEER_TIMEOUT_SECONDS = 1.0
-"""Longest wait for peers; the next poll asks again."""
+"""Timeout of the peers; the next poll asks them again."""
 STALL_SECONDS = 4.0
-"""A gateway that did not poll for this long may have missed a change.
+"""Age of the last poll after which a gateway may have missed a change.
 
-It is the time in which a change is to be in force everywhere. One poll
-starts at most ``POLL_SECONDS + STORE_SECONDS + PEER_SECONDS`` = 3 s after
-the one before, so that only a frozen process gets there.
+Every change must be in force on all gateways within this time. A poll starts
+at most ``POLL_SECONDS + STORE_TIMEOUT_SECONDS + PEER_TIMEOUT_SECONDS`` = 3 s
+after the previous one, so only a frozen process exceeds the limit.
 """
 
 FetchPeerSnapshots = Callable[[], Awaitable[Sequence[Snapshot]]]
 
 
 def read_clock() -> float:
-    """Return seconds that also pass while the host is suspended."""
+    """Return the seconds of a monotonic clock that includes suspend time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 async def fetch_no_snapshots() -> Sequence[Snapshot]:
-    """Stand for peers where there are none."""
+    """Return no snapshots; used by gateways without peers."""
     return ()
 
 
 class DeclarationWatch:
-    """Polls the store, takes tickets from peers and never goes back.
+    """Follows the declaration in the store and at peers; never reverts it.
 
-    A declaration could go back in four ways: a gateway starts without the
-    store, thaws, hears an old peer, or reads rows restored from a copy. In
-    each of them the revision is lower than one already in force somewhere.
-    This one only ever takes a higher revision, and does not let callers in
+    A gateway could revert to an older declaration in four ways: it starts
+    while the store is down, resumes after a freeze, receives data from an
+    outdated peer, or reads rows restored from a backup. In each case the
+    revision is lower than one already in force on some gateway. The watch
+    therefore accepts only higher revisions, and does not admit callers
     (`is_current`) until the store or a peer that is itself current has
-    answered since the start or thaw.
+    answered since the start or resume.
 
     Args:
-        store: The platform's tables.
-        on_declared: Called with each new declaration.
-        ask_peers: Returns snapshots of peers that are current; cancelled
-            after ``PEER_SECONDS``, so that it should give up on each peer
-            sooner.
-        clock: Seconds that also pass while the process is frozen.
+        store: Table service of the platform.
+        on_declaration: Called with each new declaration.
+        fetch_peer_snapshots: Returns the snapshots of current peers. It is
+            cancelled after ``PEER_TIMEOUT_SECONDS``, so its timeout per peer
+            should be shorter.
+        clock: Returns the seconds of a monotonic clock that does not stop
+            while the process is frozen.
     """
 
     def __init__(
@@ -78,37 +80,37 @@
         self._snapshot = Snapshot(0, {})
         self._declaration = Declaration()
         self._pending: dict[int, TicketRecord] = {}
-        self._heard = 0
-        self._confirmed = False
-        self._polled = clock()
+        self._peer_revision = 0
+        self._is_confirmed = False
+        self._poll_started = clock()
         self._wake = asyncio.Event()
 
     @property
     def snapshot(self) -> Snapshot:
-        """All objects as of the revision in force here."""
+        """All objects at the revision in force on this gateway."""
         return self._snapshot
 
     @property
     def declaration(self) -> Declaration:
-        """What is in force here."""
+        """Declaration in force on this gateway."""
         return self._declaration
 
     def is_current(self) -> bool:
-        """Return whether requests may be served by this declaration."""
-        if self._clock() - self._polled > STALL_SECONDS:
-            self._confirmed = False
-        return self._confirmed
+        """Return whether requests may be served under this declaration."""
+        if self._clock() - self._poll_started > STALL_SECONDS:
+            self._is_confirmed = False
+        return self._is_confirmed
 
     def get_current_snapshot(self) -> Snapshot | None:
-        """Return what a peer that asks may take; None if not current.
+        """Return the snapshot to send to a peer, or None if not current.
 
-        Two gateways that both start without the store must not take each
-        other's empty state for an answer.
+        Two gateways that both start while the store is down must not confirm
+        each other's empty state.
         """
         return self._snapshot if self.is_current() else None
 
     def apply_ticket(self, record: TicketRecord) -> None:
-        """Take a committed ticket, from this gateway's intake or a peer."""
+        """Apply a committed ticket from this gateway's API or a peer."""
         if record.revision <= self._snapshot.revision:
             return
         self._pending[record.revision] = record
@@ -116,9 +118,9 @@
         self.observe_revision(record.revision)
 
     def observe_revision(self, revision: int) -> None:
-        """Note the revision that a peer has; ask at once if it is newer."""
-        self._heard = max(self._heard, revision)
-        if self._heard > self._snapshot.revision:
+        """Record the revision of a peer; poll at once if it is newer."""
+        self._peer_revision = max(self._peer_revision, revision)
+        if self._peer_revision > self._snapshot.revision:
             self._wake.set()
 
     async def run(self) -> None:
@@ -133,14 +135,17 @@
                 continue
 
     async def poll(self) -> None:
-        """Ask the store, or else the peers, for what is newer."""
+        """Fetch newer revisions from the store or else from peers."""
         self.is_current()
-        # The time is taken before the call, not after: what a process read
-        # that was frozen within the call is as old as the call's start.
-        self._polled = self._clock()
+        # The clock is read before the call: if the process is frozen during
+        # the call, the data that it reads is as old as the start of the call.
+        self._poll_started = self._clock()
         if await self._poll_store():
-            self._confirmed = True
-        elif not self._confirmed or self._heard > self._snapshot.revision:
+            self._is_confirmed = True
+        elif (
+            not self._is_confirmed
+            or self._peer_revision > self._snapshot.revision
+        ):
             await self._poll_peers()
 
     async def _poll_store(self) -> bool:
@@ -156,9 +161,9 @@
             return False
 
     async def _catch_up(self, head: Head) -> bool:
-        behind = head.revision - self._snapshot.revision
-        if behind <= len(head.recent):
-            found = await read_tickets(self._store, head.recent[:behind])
+        missing = head.revision - self._snapshot.revision
+        if missing <= len(head.recent):
+            found = await read_tickets(self._store, head.recent[:missing])
             if isinstance(found, Unavailable):
                 return False
             for record in found:
@@ -169,7 +174,7 @@
             reading = await read_declaration(self._store)
             if isinstance(reading, ReadConflict | Unavailable):
                 return False
-            self._take_snapshot(reading.snapshot, "store")
+            self._accept_snapshot(reading.snapshot, "store")
         return True
 
     async def _poll_peers(self) -> None:
@@ -181,12 +186,12 @@
         if not snapshots:
             return
         newest = max(snapshots, key=lambda snapshot: snapshot.revision)
-        self._take_snapshot(newest, "peer")
-        self._confirmed = self._snapshot.revision >= self._heard
+        self._accept_snapshot(newest, "peer")
+        self._is_confirmed = self._snapshot.revision >= self._peer_revision
 
-    def _take_snapshot(self, snapshot: Snapshot, source: str) -> None:
+    def _accept_snapshot(self, snapshot: Snapshot, source: str) -> None:
         if snapshot.revision > self._snapshot.revision:
-            self._put_in_force(snapshot, source)
+            self._activate(snapshot, source)
             self._apply_pending(source)
 
     def _apply_pending(self, source: str) -> None:
@@ -197,9 +202,9 @@
             )
             snapshot = Snapshot(record.revision, objects)
         if snapshot is not self._snapshot:
-            self._put_in_force(snapshot, source)
+            self._activate(snapshot, source)
 
-    def _put_in_force(self, snapshot: Snapshot, source: str) -> None:
+    def _activate(self, snapshot: Snapshot, source: str) -> None:
         self._snapshot = snapshot
         self._declaration = declare(snapshot)
         for revision in [*self._pending]:
--- a/test/memory_store.py
+++ b/test/memory_store.py
@@ -1,4 +1,4 @@
-"""An in-memory Store that loses replies and goes down on order."""
+"""An in-memory `Store` with fault injection."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -15,10 +15,11 @@
 
 
 class MemoryStore:
-    """Keeps rows; ``fault`` names what the next calls meet.
+    """Stores rows in memory and injects a fault into each call.
 
-    A fault is asked for at each call: ``down`` (not applied), ``lost``
-    (applied, no reply), ``late`` (applied on ``deliver``, no reply) or "".
+    ``fault`` is called with the operation of each call and returns ``down``
+    (not applied), ``lost`` (applied, no response), ``late`` (applied by
+    `deliver`, no response) or "" (no fault).
     """
 
     def __init__(self) -> None:
@@ -30,7 +31,7 @@
     async def transact(
         self, conditions: Sequence[Condition], writes: Sequence[Write]
     ) -> Committed | Conflict | Unavailable:
-        fault = await self._meet("transact")
+        fault = await self._inject_fault("transact")
         if fault == "down":
             return Unavailable("down", applied=False)
         if fault == "late":
@@ -40,14 +41,14 @@
         return Unavailable("no reply") if fault == "lost" else outcome
 
     async def read(self, keys: Sequence[str]) -> tuple[Row, ...] | Unavailable:
-        if await self._meet("read"):
+        if await self._inject_fault("read"):
             return Unavailable("down", applied=False)
         return tuple(self.rows.get(key, Row(key, 0)) for key in keys)
 
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...] | Unavailable:
-        if await self._meet("scan"):
+        if await self._inject_fault("scan"):
             return Unavailable("down", applied=False)
         keys = sorted(
             key for key in self.rows if key.startswith(prefix) and key > after
@@ -55,7 +56,7 @@
         return tuple(self.rows[key] for key in keys[:limit])
 
     def deliver(self) -> None:
-        """Apply the late writes."""
+        """Apply the delayed writes."""
         while self.late:
             self.late.pop(0)()
 
@@ -77,8 +78,8 @@
         self.rows[write.key] = Row(write.key, version, value)
         return self.rows[write.key]
 
-    async def _meet(self, call: str) -> str:
-        # Give way, so that tasks interleave between any two calls.
+    async def _inject_fault(self, call: str) -> str:
+        # Yield to the event loop, so that tasks interleave between calls.
         await asyncio.sleep(0)
         self.calls.append(call)
         return self.fault(call)
--- a/test/played_loop.py
+++ b/test/played_loop.py
@@ -1,4 +1,4 @@
-"""An event loop on played time, so that waits cost nothing and are exact."""
+"""An event loop with simulated time: waits are exact and take no real time."""
 
 import asyncio
 import selectors
@@ -9,7 +9,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Does not wait: the time jumps to the next timer instead."""
+    """Advances the time to the next timer instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -18,13 +18,13 @@
     def select(self, timeout: float | None = None) -> list[Any]:
         ready = super().select(0)
         if not ready:
-            assert timeout is not None, "nothing is left to happen"
+            assert timeout is not None, "no event or timer is pending"
             self.now += timeout
         return ready
 
 
 class PlayedLoop(asyncio.SelectorEventLoop):
-    """Runs coroutines that use no sockets; its clock starts at 0."""
+    """Runs coroutines without sockets in simulated time, starting at 0."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -34,7 +34,7 @@
         return self._jumping.now
 
 
-def play_time(story: Coroutine[Any, Any, _T]) -> _T:
-    """Run a story on played time and return its result."""
+def play_time(coroutine: Coroutine[Any, Any, _T]) -> _T:
+    """Run a coroutine in simulated time and return its result."""
     with asyncio.Runner(loop_factory=PlayedLoop) as runner:
-        return runner.run(story)
+        return runner.run(coroutine)
--- a/test/played_store.py
+++ b/test/played_store.py
@@ -1,4 +1,4 @@
-"""The store as one gateway reaches it, on played time."""
+"""Store access of one gateway in simulated time, with network faults."""
 
 import asyncio
 from urllib.parse import urlsplit
@@ -11,10 +11,10 @@
 
 
 class PlayedClient:
-    """Takes the place of the HTTP client in front of a stand-in's rows.
+    """Replaces the HTTP client and calls a stand-in store directly.
 
-    While ``silent``, calls are not answered, nor are those ever that were
-    under way when it began.
+    During a silent outage calls get no response, and calls that were in
+    flight when the outage began never get one.
     """
 
     def __init__(self, rows: RowStore) -> None:
@@ -25,16 +25,16 @@
         self.calls = 0
 
     def begin_silence(self) -> None:
-        """Answer nobody from now on."""
+        """Stop responding to calls."""
         self._silent = True
         self._outages += 1
 
     def begin_refusal(self) -> None:
-        """Refuse all connections from now on."""
+        """Refuse all new connections."""
         self._refused = True
 
     def end_silence(self) -> None:
-        """Answer new calls again."""
+        """Respond to new calls again."""
         self._silent = self._refused = False
 
     async def call(
@@ -47,7 +47,7 @@
         *,
         timeout: float,
     ) -> Response:
-        """Call as the client does."""
+        """Call the store like `lagoonpost.http.client.Client.call`."""
         self.calls += 1
         if self._refused:
             raise CallFailedError("cannot connect", sent=False)
--- a/test/test_platform.py
+++ b/test/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.store.table and the stand-ins behind it."""
+"""Tests of lagoonpost.store.table and of the platform stand-ins."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,15 +25,15 @@
 T = TypeVar("T")
 
 
-def _play(
-    handler: Handler, story: Callable[[Client, Address], Awaitable[T]]
+def _run_scenario(
+    handler: Handler, scenario: Callable[[Client, Address], Awaitable[T]]
 ) -> T:
     async def serve() -> T:
         server = Server(handler)
         address = await server.start(LOOPBACK)
         client = Client()
         try:
-            return await story(client, address)
+            return await scenario(client, address)
         finally:
             client.close()
             await server.close(1.0)
@@ -43,7 +43,7 @@
 
 class TestTableStore:
     def test_inserts_once_and_shows_what_is_there(self) -> None:
-        async def story(client: Client, address: Address) -> None:
+        async def scenario(client: Client, address: Address) -> None:
             store = TableStore(client, address)
             absent = [Condition("a", 0)]
             first = await store.transact(absent, [Write("a", {"n": 1})])
@@ -54,10 +54,10 @@
             assert rows == (Row("b", 0), first.rows[0])
             assert await store.scan("a") == first.rows
 
-        _play(Platform().handle, story)
+        _run_scenario(Platform().handle, scenario)
 
     def test_lost_reply_is_unknown_and_its_write_stays(self) -> None:
-        async def story(client: Client, address: Address) -> None:
+        async def scenario(client: Client, address: Address) -> None:
             store = TableStore(client, address)
             faults = msgspec.json.encode({"lose_replies": 1})
             await client.call(
@@ -70,10 +70,10 @@
             assert not isinstance(rows, Unavailable)
             assert rows[0].value == 1
 
-        _play(Platform().handle, story)
+        _run_scenario(Platform().handle, scenario)
 
     def test_unreachable_store_surely_applied_nothing(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             server = Server(Platform().handle)
             address = await server.start(LOOPBACK)
             await server.close(0.0)
@@ -83,14 +83,14 @@
             assert isinstance(outcome, Unavailable)
             assert outcome.applied is False
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
 
 class TestService:
     def test_counts_runs_per_key_and_answers_by_body(self) -> None:
         service = Service()
 
-        async def story(client: Client, address: Address) -> Response:
+        async def scenario(client: Client, address: Address) -> Response:
             return await client.call(
                 address,
                 "POST",
@@ -100,7 +100,7 @@
                 timeout=5,
             )
 
-        answer = _play(service.handle, story)
+        answer = _run_scenario(service.handle, scenario)
         assert answer.body == make_booking_answer(b"pitch 7").body
         assert service.runs == {"k": 1}
 
@@ -108,14 +108,14 @@
         service = Service()
         service.faults = {"cut": "after"}
 
-        async def story(client: Client, address: Address) -> bool:
+        async def scenario(client: Client, address: Address) -> bool:
             try:
                 await client.call(address, "POST", "/book", timeout=5)
             except CallFailedError as error:
                 return error.sent
             return False
 
-        assert _play(service.handle, story)
+        assert _run_scenario(service.handle, scenario)
         assert service.runs.total() == 1
 
 
--- a/test/test_settings.py
+++ b/test/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.settings and the command that shows them."""
+"""Tests of lagoonpost.settings and of the ``settings`` command."""
 
 from click.testing import CliRunner
 
@@ -49,7 +49,11 @@
 
 class TestHostBounds:
     def test_all_bounds_of_the_platforms_file_hold(self, tmp_path) -> None:
-        """A bad version gets the share that another deployment allows."""
+        """Guards against bounds in the settings file that are ignored.
+
+        A faulty version would get the default share of the requests instead
+        of the share that this deployment allows.
+        """
         wire = {
             "exposure_share": 0.02,
             "exposure_slack": 7,
@@ -57,10 +61,12 @@
             "drain_ms": 3000,
             "contact_ms": 5000,
         }
-        here = Address("127.0.0.1", 1)
+        address = Address("127.0.0.1", 1)
         path = tmp_path / "boot.toml"
-        addresses = GatewayAddresses(here, here, here, here)
-        path.write_text(make_settings(1, addresses, here, here, bounds=wire))
+        addresses = GatewayAddresses(address, address, address, address)
+        path.write_text(
+            make_settings(1, addresses, address, address, bounds=wire)
+        )
         bounds = read_host_settings(str(path)).bounds
         assert (bounds.exposure_share, bounds.exposure_slack) == (0.02, 7.0)
         assert (bounds.apply_seconds, bounds.drain_seconds) == (4.0, 3.0)
@@ -72,7 +78,7 @@
 
 class TestSettingsCommand:
     def test_shows_origins_and_hides_secrets(self) -> None:
-        done = CliRunner().invoke(
+        result = CliRunner().invoke(
             main,
             ["settings", "--name", "gw-1", "--listen", "127.0.0.1:1"],
             env={
@@ -80,15 +86,15 @@
                 "LAGOONPOST_SIGNING_KEY": GOOD["signing_key"],
             },
         )
-        assert done.exit_code == 0, done.output
-        lines = {line.split()[0]: line for line in done.output.splitlines()}
+        assert result.exit_code == 0, result.output
+        lines = {line.split()[0]: line for line in result.output.splitlines()}
         assert lines["name"].endswith("commandline")
         assert lines["platform"].endswith("environment")
         assert lines["grace"].endswith("default")
-        assert GOOD["signing_key"] not in done.output
+        assert GOOD["signing_key"] not in result.output
 
     def test_exits_with_usage_on_faults(self) -> None:
-        done = CliRunner().invoke(main, ["gateway", "--grace", "x"])
-        assert done.exit_code == 2
-        assert "--grace: 'x'" in done.output
-        assert "--listen" in done.output
+        result = CliRunner().invoke(main, ["gateway", "--grace", "x"])
+        assert result.exit_code == 2
+        assert "--grace: 'x'" in result.output
+        assert "--listen" in result.output
--- a/test/test_ticket.py
+++ b/test/test_ticket.py
@@ -53,38 +53,38 @@
     return ticket
 
 
-async def sleep_not(seconds: float) -> None:
+async def skip_sleep(seconds: float) -> None:
     await asyncio.sleep(0)
 
 
 def make_intake(store: MemoryStore, tries: int = 5) -> TicketStore:
     return TicketStore(
-        store, RetryPolicy(tries), clock=lambda: 0.0, sleep=sleep_not
+        store, RetryPolicy(tries), clock=lambda: 0.0, sleep=skip_sleep
     )
 
 
 def submit(store: MemoryStore, *tickets: Ticket) -> list[TicketOutcome]:
-    """Submit in turn, each at a gateway of its own."""
+    """Submit the tickets in sequence, each at a different gateway."""
 
-    async def play() -> list[TicketOutcome]:
+    async def submit_all() -> list[TicketOutcome]:
         return [
             await make_intake(store).submit(ticket, "ann")
             for ticket in tickets
         ]
 
-    return asyncio.run(play())
+    return asyncio.run(submit_all())
 
 
 def race(store: MemoryStore, *tickets: Ticket) -> list[TicketOutcome]:
-    """Submit all at once, each at a gateway of its own."""
+    """Submit the tickets concurrently, each at a different gateway."""
 
-    async def play() -> list[TicketOutcome]:
+    async def submit_all() -> list[TicketOutcome]:
         calls = [
             make_intake(store).submit(ticket, "ann") for ticket in tickets
         ]
         return await asyncio.gather(*calls)
 
-    return asyncio.run(play())
+    return asyncio.run(submit_all())
 
 
 def name(outcome: TicketOutcome) -> str:
@@ -153,11 +153,12 @@
 
 class TestMoveOverlap:
     def test_parts_of_a_declared_move_change_together(self) -> None:
-        """An operator drops a version's old share while it is moving.
+        """Guards against tickets that change only part of a declared move.
 
-        Had it been taken, the ticket and the move would each claim another
-        share; and dropping the move alone after it was done would send all
-        traffic back to the old version.
+        An operator removes the old version while its traffic is moving. If
+        the ticket were accepted, it and the move would declare different
+        shares; removing only the finished move would send all traffic back
+        to the old version.
         """
         store = MemoryStore()
         start = load_ticket(START)
@@ -189,19 +190,21 @@
 
 class TestRace:
     def test_two_contents_for_one_number(self) -> None:
-        """Two operators take number 1 for different changes at once.
+        """Guards against one ticket overwriting another with the same number.
 
-        Both gateways find the number free before either writes. Only one
-        may be accepted, and the other operator must be told, not overwritten.
+        Two operators submit different tickets with number 1 concurrently, and
+        both gateways read the number as free before either writes. Only one
+        ticket may be accepted; the other must be refused.
         """
         store = MemoryStore()
         outcomes = race(store, make_ticket(1, 1), make_ticket(1, 2))
         assert sorted(map(name, outcomes)) == ["Accepted", "number_taken"]
 
     def test_one_ticket_through_two_gateways(self) -> None:
-        """An impatient operator hands a ticket in twice, side by side.
+        """Guards against two revisions for one ticket.
 
-        Both must hear the one answer, and only one revision is made.
+        An operator submits the same ticket twice concurrently. Both
+        submissions must return the same outcome and create one revision.
         """
         store = MemoryStore()
         outcomes = race(store, make_ticket(1), make_ticket(1))
@@ -212,10 +215,11 @@
     def test_tickets_for_other_objects_get_revisions_of_their_own(
         self,
     ) -> None:
-        """Two operators change different workspaces at the same moment.
+        """Guards against two tickets with the same revision.
 
-        Were both written as one revision, a gateway that took the one would
-        never look for the other.
+        Two operators change different workspaces concurrently. If both got
+        the same revision, a gateway that has one ticket would never fetch the
+        other.
         """
         outcomes = race(MemoryStore(), make_ticket(1), make_other(2))
         revisions = [
@@ -226,10 +230,11 @@
         assert sorted(revisions) == [1, 2]
 
     def test_ticket_that_commits_during_a_scan_is_noticed(self) -> None:
-        """A ticket commits between two pages of another gateway's scan.
+        """Guards against an inconsistent read of the declaration.
 
-        It would see a runner without the version that came with it, and
-        refuse the next ticket as not fitting.
+        A ticket commits between two pages of another gateway's scan. The scan
+        would return a runner without the version declared with it, and the
+        gateway would refuse the next ticket as inconsistent.
         """
         store, later = MemoryStore(), MemoryStore()
         submit(later, make_ticket(1))
@@ -254,10 +259,10 @@
 
 class TestLostReply:
     def test_is_settled_by_reading_back(self) -> None:
-        """The write takes effect and its reply is lost.
+        """Guards against a wrong outcome if a write's response is lost.
 
-        The operator must hear accepted, and a retry must not make a second
-        revision.
+        The write was applied, so the outcome must be accepted, and a retry
+        must not create a second revision.
         """
         store = MemoryStore()
         faults = iter(["lost"])
@@ -267,10 +272,11 @@
         assert store.rows["revision"].value["revision"] == 1
 
     def test_late_write_is_not_called_not_run(self) -> None:
-        """A write hangs in the platform and takes effect minutes later.
+        """Guards against "not run" for a write that is applied later.
 
-        Reading back finds nothing yet. Told "not run", the operator would
-        drop the change, and it would come into force all the same.
+        The platform delays a write by minutes, so reading back does not find
+        it yet. After "not run" the operator would abandon the change, which
+        would then come into force anyway.
         """
         store = MemoryStore()
         store.fault = lambda call: "late" if call == "transact" else ""
@@ -282,9 +288,10 @@
         assert isinstance(again, Accepted)
 
     def test_late_write_has_no_effect_after_another_ticket(self) -> None:
-        """A write hangs, and a second operator's ticket is accepted.
+        """Guards against a delayed write that overwrites a later ticket.
 
-        The hanging write must not come into force over it when it arrives.
+        A write is delayed and another operator's ticket is accepted in the
+        meantime. The delayed write must have no effect when it arrives.
         """
         store = MemoryStore()
         store.fault = lambda call: "late" if call == "transact" else ""
@@ -299,10 +306,11 @@
         assert name(again) == "stale"
 
     def test_accepted_only_after_reading_back(self) -> None:
-        """The write is confirmed, then the store goes down.
+        """Guards against "accepted" for a ticket that was not read back.
 
-        Accepted means that it was read back; the operator is told to hand
-        the same ticket in again, and then hears accepted.
+        The write is confirmed, then the store goes down. The outcome is
+        unsettled until the operator submits the same ticket again, which
+        returns accepted.
         """
         store = MemoryStore()
 
@@ -324,16 +332,16 @@
 class TestStoreDown:
     @pytest.mark.parametrize("call", ["read", "scan", "transact"])
     def test_that_this_hand_in_wrote_nothing_is_said(self, call: str) -> None:
-        """Guards against a hand-in that writes after it said it did not."""
+        """Guards against a write after the submission reported none."""
         store = MemoryStore()
-        store.fault = lambda met: "down" if met == call else ""
+        store.fault = lambda operation: "down" if operation == call else ""
         (outcome,) = submit(store, make_ticket(1))
         assert outcome == Unsettled(f"down; {WROTE_NOTHING}")
         store.deliver()
         assert not store.rows
 
     def test_it_is_not_said_of_a_write_that_hangs(self) -> None:
-        """Guards against a change that its own hand-in denied."""
+        """Guards against denying a write that may still be applied."""
         store = MemoryStore()
         store.fault = lambda call: "late" if call == "transact" else ""
         assert submit(store, make_ticket(1)) == [Unsettled("no reply")]
@@ -341,7 +349,10 @@
 
 class TestHandInElsewhere:
     def test_not_run_is_not_said_of_a_ticket_under_way_elsewhere(self) -> None:
-        """Guards against a change that comes into force after "not run"."""
+        """Guards against a change that takes effect after "not run".
+
+        Another gateway's write of the same ticket is still in flight.
+        """
         store = MemoryStore()
         store.fault = lambda call: "late" if call == "transact" else ""
         (first,) = submit(store, make_ticket(1))
--- a/test/test_ticket_machine.py
+++ b/test/test_ticket_machine.py
@@ -1,4 +1,4 @@
-"""State machine of tickets: several gateways, races and store faults."""
+"""Stateful test of tickets: several gateways, races and store faults."""
 
 import asyncio
 
@@ -56,10 +56,10 @@
 
 
 class TicketMachine(RuleBasedStateMachine):
-    """Operators hand in tickets anywhere while the store fails.
+    """Submits tickets at several gateways while the store fails.
 
-    An accepted ticket must never be lost or reverted, and one that was
-    answered "not run" must not come into force by itself.
+    An accepted ticket must never be lost or reverted, and a ticket answered
+    with "not run" must not take effect unless it is submitted again.
     """
 
     def __init__(self) -> None:
@@ -87,22 +87,22 @@
         read_faults: list[str],
         offset: int,
     ) -> None:
-        plans = {"transact": iter(write_faults)}
+        faults = {"transact": iter(write_faults)}
         reads = iter(read_faults)
-        self.store.fault = lambda call: next(plans.get(call, reads), "")
-        outcomes = self._play(tickets, offset)
+        self.store.fault = lambda call: next(faults.get(call, reads), "")
+        outcomes = self._submit_all(tickets, offset)
         for ticket, outcome in zip(tickets, outcomes, strict=True):
-            self._note(ticket, outcome)
+            self._record_outcome(ticket, outcome)
 
     @rule()
     def retry(self) -> None:
-        """Without faults, each gets its final answer."""
+        """Without faults, every unsettled ticket gets a final outcome."""
         tickets, self.unsettled = self.unsettled, []
         for ticket in tickets:
             self.store.fault = lambda call: ""
-            (outcome,) = self._play([ticket], 0)
+            (outcome,) = self._submit_all([ticket], 0)
             assert isinstance(outcome, Accepted | Refused)
-            self._note(ticket, outcome)
+            self._record_outcome(ticket, outcome)
 
     @rule()
     def deliver(self) -> None:
@@ -151,26 +151,29 @@
 
     @invariant()
     def revisions_only_grow(self) -> None:
-        now = [watch.declaration.revision for watch in self.watches]
+        revisions = [watch.declaration.revision for watch in self.watches]
         assert all(
-            new >= old for new, old in zip(now, self.revisions, strict=True)
+            new >= old
+            for new, old in zip(revisions, self.revisions, strict=True)
         )
-        self.revisions = now
+        self.revisions = revisions
 
-    def _play(self, tickets: list[Ticket], offset: int) -> list[TicketOutcome]:
-        async def submit(turn: int, ticket: Ticket) -> TicketOutcome:
-            for _ in range(turn * offset):
+    def _submit_all(
+        self, tickets: list[Ticket], offset: int
+    ) -> list[TicketOutcome]:
+        async def submit(position: int, ticket: Ticket) -> TicketOutcome:
+            for _ in range(position * offset):
                 await asyncio.sleep(0)
             return await make_intake(self.store, 3).submit(ticket, "ann")
 
-        async def play() -> list[TicketOutcome]:
+        async def submit_concurrently() -> list[TicketOutcome]:
             calls = [submit(*numbered) for numbered in enumerate(tickets)]
             return await asyncio.gather(*calls)
 
-        return asyncio.run(play())
+        return asyncio.run(submit_concurrently())
 
-    def _note(self, ticket: Ticket, outcome: TicketOutcome) -> None:
-        self.not_run = [old for old in self.not_run if old != ticket]
+    def _record_outcome(self, ticket: Ticket, outcome: TicketOutcome) -> None:
+        self.not_run = [other for other in self.not_run if other != ticket]
         match outcome:
             case Accepted(record):
                 assert record.objects == ticket.objects
--- a/test/test_watch.py
+++ b/test/test_watch.py
@@ -13,7 +13,7 @@
 
 
 class Site:
-    """One watch with its store, peers and clock."""
+    """A declaration watch with its store, peers and clock."""
 
     def __init__(self, store: MemoryStore | None = None) -> None:
         self.store = store or MemoryStore()
@@ -36,10 +36,10 @@
         return [declaration.revision for declaration in self.declared]
 
     def cut_store(self) -> None:
-        self.watch._store = make_dead_store()
+        self.watch._store = make_unavailable_store()
 
 
-def make_dead_store() -> MemoryStore:
+def make_unavailable_store() -> MemoryStore:
     store = MemoryStore()
     store.fault = lambda call: "down"
     return store
@@ -83,10 +83,10 @@
         )
 
     def test_never_goes_back_with_the_store(self) -> None:
-        """The platform's operators restore the tables from an old copy.
+        """Guards against reverting accepted tickets after a store restore.
 
-        The revision row then shows a lower number than the one in force.
-        A gateway that followed it would undo accepted tickets.
+        The platform's operators restore the tables from an old copy, so the
+        revision row has a lower number than the one in force.
         """
         site = Site()
         accept(site.store, 1)
@@ -100,10 +100,11 @@
 
 class TestPeers:
     def test_ticket_from_peer_is_in_force_without_store(self) -> None:
-        """The store goes down right after a ticket was accepted.
+        """Guards against a ticket that reaches only one gateway.
 
-        Only the gateway that took it has its content. The others must have
-        it in force within seconds all the same.
+        The store goes down right after a ticket was accepted, so only the
+        gateway that accepted it has its content. The other gateways must
+        apply it within seconds nevertheless.
         """
         site = Site()
         first, second = accept(site.store, 1, 2)
@@ -113,10 +114,11 @@
         assert site.revisions == [1, 2]
 
     def test_ticket_after_a_gap_waits_for_what_is_missing(self) -> None:
-        """A peer's push of ticket 1 is lost, that of ticket 2 arrives.
+        """Guards against applying a ticket without its predecessor.
 
-        Ticket 2 may refer to what ticket 1 declared, so it must not be in
-        force alone; the peer is asked for its whole state.
+        A peer's push of ticket 1 is lost and that of ticket 2 arrives. Ticket
+        2 may refer to objects of ticket 1, so it must not be applied alone;
+        the gateway fetches the peer's whole state.
         """
         site, peer = Site(), Site()
         records = accept(peer.store, 1, 2)
@@ -129,22 +131,23 @@
         assert site.revisions == [2]
 
     def test_old_peer_that_speaks_up_changes_nothing(self) -> None:
-        """A gateway frozen for minutes thaws and pushes an old ticket."""
+        """A gateway frozen for minutes resumes and pushes an old ticket."""
         site = Site()
         old, _ = accept(site.store, 1, 2)
         site.poll()
         site.watch.apply_ticket(old)
         site.watch.observe_revision(1)
-        site.watch._take_snapshot(Snapshot(1, {}), "peer")
+        site.watch._accept_snapshot(Snapshot(1, {}), "peer")
         assert site.revisions == [2]
 
 
 class TestStart:
     def test_waits_for_store_or_peer(self) -> None:
-        """A gateway is replaced while the store is down.
+        """Guards against serving without a current declaration.
 
-        Serving at once would refuse all callers, as no workspace is known;
-        serving what one frozen peer knows would undo tickets.
+        A gateway is replaced while the store is down. Serving at once would
+        refuse all callers, as no workspace is known; serving the state of an
+        outdated peer would revert tickets.
         """
         store = MemoryStore()
         accept(store, 1)
@@ -161,10 +164,10 @@
         assert site.watch.declaration.revision == 2
 
     def test_two_that_start_do_not_confirm_each_other(self) -> None:
-        """All gateways restart while the store is down.
+        """Guards against gateways that confirm each other's empty state.
 
-        Each would take the others' empty state for an answer and refuse
-        every caller as unknown.
+        All gateways restart while the store is down. They would accept the
+        empty state and refuse every caller as unknown.
         """
         one, two = Site(), Site()
         one.peers, two.peers = [two.watch], [one.watch]
@@ -177,10 +180,11 @@
 
 class TestFreeze:
     def test_thawed_gateway_asks_before_it_serves(self) -> None:
-        """A gateway is frozen while a ticket takes a workspace's key away.
+        """Guards against admitting a caller whose key was revoked.
 
-        The first thing that runs when it thaws may be a caller's request,
-        before any poll; by its old declaration it would let the caller in.
+        A gateway is frozen while a ticket revokes a workspace's key. After it
+        resumes, a caller's request may run before any poll, and the outdated
+        declaration would admit the caller.
         """
         site, peer = Site(), Site()
         accept(site.store, 1)
@@ -200,9 +204,9 @@
         assert site.revisions == [1, 2]
 
     def test_frozen_inside_a_poll(self) -> None:
-        """The process stops between a poll's call and its reply.
+        """Guards against trusting a response from before a freeze.
 
-        The reply tells of the time before the freeze.
+        The process freezes between the request of a poll and its response.
         """
         site = Site()
         accept(site.store, 1)
@@ -216,7 +220,7 @@
         assert not site.watch.is_current()
 
     def test_store_outage_alone_is_no_freeze(self) -> None:
-        """The store is down for an hour; serving goes on."""
+        """Serving continues while the store is down for an hour."""
         site = Site()
         accept(site.store, 1)
         site.poll()
--- a/test/test_wire_names.py
+++ b/test/test_wire_names.py
@@ -1,4 +1,4 @@
-"""Names of the users' platform stand in its adapter and nowhere else."""
+"""Checks that wire names of the platform occur only in its adapter."""
 
 import re
 from pathlib import Path
@@ -53,7 +53,7 @@
         assert found == []
 
     def test_the_adapter_decides_nothing(self):
-        """Import contracts keep decisions out; this keeps it small."""
+        """Checks the size; import contracts keep decisions out of it."""
         lines = sum(
             len(path.read_text().splitlines()) for path in ADAPTER.glob("*.py")
         )
