--- a/bench/demo.py
+++ b/bench/demo.py
@@ -10,7 +10,7 @@
 from bench.system import LocalSystem
 from lagoonpost.caller.client import (
     Caller,
-    Ended,
+    Finished,
     Problem,
     Resumed,
     Token,
@@ -78,7 +78,7 @@
                 texts.append(text)
             case Resumed():
                 resumed += 1
-            case Ended(finish_reason):
+            case Finished(finish_reason):
                 end = finish_reason
             case Problem():
                 end = event.detail
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -14,7 +14,7 @@
 from bench.system import LocalSystem
 from lagoonpost.caller.client import (
     Caller,
-    Ended,
+    Finished,
     Problem,
     Resumed,
     Token,
@@ -53,7 +53,7 @@
                     act(entry)
             case Resumed(_, _, cause):
                 causes.append(cause)
-            case Ended(finish_reason):
+            case Finished(finish_reason):
                 end = finish_reason
             case Problem():
                 end = event.detail
--- a/features/steps/ticket.py
+++ b/features/steps/ticket.py
@@ -8,7 +8,7 @@
 from behave import then, when
 
 from bench.system import OPERATOR_KEY, LocalSystem
-from lagoonpost.cli.operator import Gateways
+from lagoonpost.cli.operator import OperatorClient
 from lagoonpost.http.message import Response
 
 LONG = 30.0
@@ -22,7 +22,7 @@
 
 async def hand_in(system: LocalSystem, name: str, weight: float) -> Response:
     entry = system.addresses[name]
-    gateways = Gateways((entry,), OPERATOR_KEY)
+    gateways = OperatorClient((entry,), OPERATOR_KEY)
     try:
         content = make_content(weight)
         return await gateways.call(entry, "POST", "/v1/tickets", content)
@@ -32,7 +32,7 @@
 
 async def read_state(system: LocalSystem, name: str) -> Any:
     entry = system.addresses[name]
-    gateways = Gateways((entry,), OPERATOR_KEY)
+    gateways = OperatorClient((entry,), OPERATOR_KEY)
     try:
         path = "/v1/declaration?objects=1"
         response = await gateways.call(entry, "GET", path)
--- a/lagoonpost/caller/client.py
+++ b/lagoonpost/caller/client.py
@@ -16,13 +16,13 @@
     parse_address,
 )
 
-CALL_SECONDS = 40.0
-ENTRIES_SECONDS = 2.0
-SILENCE_SECONDS = 15.0
+CALL_TIMEOUT_SECONDS = 40.0
+ENTRIES_TIMEOUT_SECONDS = 2.0
+STREAM_IDLE_TIMEOUT_SECONDS = 15.0
 """Longest silence of a stream: gateways send a comment every 5 s."""
-ATTEMPTS = 12
-PAUSE_SECONDS = 0.2
-REDIRECT = 303
+MAX_ATTEMPTS = 12
+INITIAL_BACKOFF_SECONDS = 0.2
+SEE_OTHER_STATUS = 303
 IN_PROGRESS = "in_progress"
 
 
@@ -40,7 +40,7 @@
     cause: str
 
 
-class Ended(NamedTuple):
+class Finished(NamedTuple):
     """The draft is whole."""
 
     finish_reason: str
@@ -57,7 +57,7 @@
     reason: str = ""
 
 
-DraftEvent = Token | Resumed | Ended | Problem
+DraftEvent = Token | Resumed | Finished | Problem
 
 
 class _Chunk(msgspec.Struct):
@@ -116,7 +116,7 @@
                     "GET",
                     "/v1/entries",
                     headers=self._headers,
-                    timeout=ENTRIES_SECONDS,
+                    timeout=ENTRIES_TIMEOUT_SECONDS,
                 )
                 listed = msgspec.json.decode(answer.body, type=_Entries)
             except (CallFailedError, msgspec.DecodeError):
@@ -145,7 +145,7 @@
             headers = (*headers, ("idempotency-key", key))
         last = Problem(503, "not_run", "no entry could be reached")
         target: Address | None = None
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             entries = await self.list_entries()
             entry = target or entries[attempt % len(entries)]
             target = None
@@ -156,7 +156,7 @@
                     path,
                     body,
                     headers,
-                    timeout=CALL_SECONDS,
+                    timeout=CALL_TIMEOUT_SECONDS,
                     fresh=bool(key),
                 )
             except CallFailedError as error:
@@ -164,7 +164,7 @@
                 last = Problem(502, execution, str(error))
                 await self._pause(attempt)
                 continue
-            if answer.status == REDIRECT:
+            if answer.status == SEE_OTHER_STATUS:
                 # The gateway is leaving; another one has the answer.
                 location = answer.header("location") or ""
                 target, path = parse_location(location)
@@ -189,7 +189,7 @@
         """
         draft = _Draft(body)
         target: Address | None = None
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             entries = await self.list_entries()
             entry = target or entries[attempt % len(entries)]
             target = None
@@ -201,7 +201,7 @@
                         target, cause = event, "moved"
                     else:
                         yield event
-                        if isinstance(event, Ended | Problem):
+                        if isinstance(event, Finished | Problem):
                             return
             except (CallFailedError, TimeoutError) as error:
                 cause = str(error) or "silent"
@@ -218,7 +218,7 @@
         self, entry: Address, draft: "_Draft"
     ) -> AsyncIterator[DraftEvent | Address]:
         draft.refused = None
-        async with asyncio.timeout(SILENCE_SECONDS) as silence:
+        async with asyncio.timeout(STREAM_IDLE_TIMEOUT_SECONDS) as silence:
             stream = await self._client.open(
                 entry,
                 "POST",
@@ -239,12 +239,12 @@
                     taken = draft.take(event)
                     if taken is not None:
                         yield taken
-                    if isinstance(taken, Ended | Problem | Address):
+                    if isinstance(taken, Finished | Problem | Address):
                         return
         raise CallFailedError("the stream ended early", sent=True)
 
     async def _pause(self, attempt: int) -> None:
-        await asyncio.sleep(min(2.0, PAUSE_SECONDS * 2**attempt))
+        await asyncio.sleep(min(2.0, INITIAL_BACKOFF_SECONDS * 2**attempt))
 
 
 class _Draft:
@@ -278,7 +278,7 @@
 
     def take(
         self, event: ServerEvent
-    ) -> Token | Ended | Problem | Address | None:
+    ) -> Token | Finished | Problem | Address | None:
         if event.kind == "moved":
             return parse_address(msgspec.json.decode(event.data)["entry"])
         if event.kind == "error":
@@ -288,7 +288,7 @@
         chunk = msgspec.json.decode(event.data, type=_Chunk)
         choice = chunk.choices[0]
         if choice.get("finish_reason"):
-            return Ended(choice["finish_reason"], chunk.usage or {})
+            return Finished(choice["finish_reason"], chunk.usage or {})
         text = choice["delta"].get("content", "")
         self._last_id = event.id
         self.tokens.append(text)
@@ -301,7 +301,7 @@
     """Yield the parts of a stream and put off its timeout with each."""
     loop = asyncio.get_running_loop()
     async for part in stream.parts():
-        silence.reschedule(loop.time() + SILENCE_SECONDS)
+        silence.reschedule(loop.time() + STREAM_IDLE_TIMEOUT_SECONDS)
         yield part
 
 
--- a/lagoonpost/cli/ask.py
+++ b/lagoonpost/cli/ask.py
@@ -8,7 +8,7 @@
 
 from lagoonpost.caller.client import (
     Caller,
-    Ended,
+    Finished,
     Problem,
     Resumed,
     Token,
@@ -67,7 +67,7 @@
                 case Resumed(entry, offset, cause):
                     note = f"[resumed at {entry}, token {offset}: {cause}]"
                     click.echo(note, err=True)
-                case Ended(finish_reason, usage):
+                case Finished(finish_reason, usage):
                     count = usage.get("completion_tokens", 0)
                     click.echo()
                     note = f"[{finish_reason}, {count} tokens]"
--- a/lagoonpost/cli/daemon.py
+++ b/lagoonpost/cli/daemon.py
@@ -13,7 +13,7 @@
 from lagoonpost.controller.daemon import ControllerDaemon
 from lagoonpost.gateway.daemon import GatewayDaemon
 from lagoonpost.settings import (
-    SECRETS,
+    SECRET_SETTINGS,
     ControllerSettings,
     GatewaySettings,
     Settings,
@@ -101,12 +101,12 @@
     checked = _check(GatewaySettings, values)
     for name, value in checked._asdict().items():
         origin = _find_origin(context, name, values.get(name))
-        shown = "(secret)" if name in SECRETS else _format(value)
+        shown = "(secret)" if name in SECRET_SETTINGS else _format(value)
         click.echo(f"{name.replace('_', '-'):<18}{shown:<28}{origin}")
 
 
 def _find_origin(context: click.Context, name: str, value: Any) -> str:
-    if name in SECRETS:
+    if name in SECRET_SETTINGS:
         return "environment"
     source = context.get_parameter_source(name)
     return source.name.lower() if source and value else "default"
--- a/lagoonpost/cli/entries.py
+++ b/lagoonpost/cli/entries.py
@@ -19,7 +19,7 @@
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address, Response
 
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 
 
 @click.command()
@@ -83,7 +83,11 @@
         for entry in entries:
             with suppress(CallFailedError):
                 answer = await client.call(
-                    entry, "GET", path, headers=headers, timeout=CALL_SECONDS
+                    entry,
+                    "GET",
+                    path,
+                    headers=headers,
+                    timeout=CALL_TIMEOUT_SECONDS,
                 )
                 return _read(answer)
     finally:
--- a/lagoonpost/cli/explain.py
+++ b/lagoonpost/cli/explain.py
@@ -9,7 +9,7 @@
 
 from lagoonpost.cli.option import ExitCode, fail, logs_option
 
-BEFORE_SECONDS = 10.0
+CONTEXT_SECONDS = 10.0
 """How far back a belief may have changed that still decided something: a lost
 runner is passed over for four seconds, a drought lasts some more."""
 
@@ -56,13 +56,13 @@
     "lagoonpost:belief:configuration": "a newer configuration came in force",
     "lagoonpost:shift:phase": "a service's move to a version went on",
 }
-REQUEST = "lagoonpost:forwarding:request"
-RUNNER = "lagoonpost:belief:runner"
-ORDER = "lagoonpost:duties:order"
-MOVED = "lagoonpost:forwarding:moved"
+REQUEST_TYPE = "lagoonpost:forwarding:request"
+RUNNER_TYPE = "lagoonpost:belief:runner"
+ORDER_TYPE = "lagoonpost:duties:order"
+MOVED_TYPE = "lagoonpost:forwarding:moved"
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One line of a log.
 
     Attributes:
@@ -78,7 +78,7 @@
     fields: dict[str, Any]
 
 
-def read_log(path: Path) -> Iterator[Line]:
+def read_log(path: Path) -> Iterator[LogLine]:
     """Yield the lines of one log; what is no message is passed over."""
     with path.open("rb") as log:
         for raw in log:
@@ -88,12 +88,12 @@
                 # A line that was cut off by the end of the process.
                 continue
             kind = str(fields.get("message_type", ""))
-            yield Line(
+            yield LogLine(
                 path.name, float(fields.get("timestamp", 0)), kind, fields
             )
 
 
-def explain_request(request: str, lines: Iterable[Line]) -> list[str]:
+def explain_request(request: str, lines: Iterable[LogLine]) -> list[str]:
     """Return what a request met, as sentences in the order of time.
 
     Args:
@@ -103,12 +103,12 @@
     held = list(lines)
     told: list[str] = []
     for line in held:
-        if line.kind == REQUEST and line.fields.get("request") == request:
+        if line.kind == REQUEST_TYPE and line.fields.get("request") == request:
             told += _explain(line, held)
     return told
 
 
-def _explain(line: Line, lines: list[Line]) -> list[str]:
+def _explain(line: LogLine, lines: list[LogLine]) -> list[str]:
     fields = line.fields
     began = line.at - float(fields.get("took") or 0.0)
     outcome = str(fields["outcome"])
@@ -136,13 +136,15 @@
     return f"offered to {runner} ({predicted}): it {_OFFERS[outcome]}"
 
 
-def _tell_context(line: Line, lines: list[Line], began: float) -> list[str]:
+def _tell_context(
+    line: LogLine, lines: list[LogLine], began: float
+) -> list[str]:
     """Return what this gateway learned shortly before and meanwhile."""
     runners = {step.partition(":")[0] for step in line.fields["steps"]}
     told = []
     for each in lines:
         age = began - each.at
-        if not -float(line.fields["took"]) <= age <= BEFORE_SECONDS:
+        if not -float(line.fields["took"]) <= age <= CONTEXT_SECONDS:
             continue
         text = _tell_move(each, line) or _tell_change(
             each, runners, line.source
@@ -153,9 +155,9 @@
     return told
 
 
-def _tell_move(each: Line, line: Line) -> str:
+def _tell_move(each: LogLine, line: LogLine) -> str:
     fields = each.fields
-    if each.kind != MOVED or fields["request"] != line.fields["request"]:
+    if each.kind != MOVED_TYPE or fields["request"] != line.fields["request"]:
         return ""
     return (
         f"it was to leave its runner: {fields['outcome']}, "
@@ -163,13 +165,13 @@
     )
 
 
-def _tell_change(each: Line, runners: set[str], source: str) -> str:
+def _tell_change(each: LogLine, runners: set[str], source: str) -> str:
     fields = each.fields
-    if each.kind == ORDER and fields["outcome"] != "done":
+    if each.kind == ORDER_TYPE and fields["outcome"] != "done":
         return f"an order of runners for {fields['service']} was not taken"
     if each.source != source:
         return ""
-    if each.kind == RUNNER:
+    if each.kind == RUNNER_TYPE:
         runner, state = str(fields["runner"]), str(fields["state"])
         if runner in runners or state != "ready":
             return (
--- a/lagoonpost/cli/margins.py
+++ b/lagoonpost/cli/margins.py
@@ -14,7 +14,7 @@
 from lagoonpost.margins.margin import Margin
 from lagoonpost.margins.reading import LogError, Logs, read_logs
 
-MOST_NAMED = 4
+MAX_NAMED_GATEWAYS = 4
 """Gateways that a row of the table names; of more it has the number."""
 
 _HEAD = ("rule", "subject", "value", "bound", "distance", "at", "case")
@@ -99,7 +99,7 @@
 def _name(gateways: tuple[str, ...]) -> str:
     if not gateways:
         return ""
-    if len(gateways) > MOST_NAMED:
+    if len(gateways) > MAX_NAMED_GATEWAYS:
         return f" [{len(gateways)} gateways]"
     return f" [{', '.join(gateways)}]"
 
--- a/lagoonpost/cli/operator.py
+++ b/lagoonpost/cli/operator.py
@@ -5,11 +5,11 @@
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address, Response
 
-CALL_SECONDS = 10.0
+CALL_TIMEOUT_SECONDS = 10.0
 """Longer than a gateway tries to settle one ticket."""
 
 
-class Gateways:
+class OperatorClient:
     """Calls the gateways with the operator's key."""
 
     def __init__(self, entries: tuple[Address, ...], key: str) -> None:
@@ -26,7 +26,12 @@
         """Call one gateway."""
         data = b"" if body is None else json.dumps(body).encode()
         return await self._client.call(
-            entry, method, path, data, self._headers, timeout=CALL_SECONDS
+            entry,
+            method,
+            path,
+            data,
+            self._headers,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
 
     def close(self) -> None:
--- a/lagoonpost/cli/ticket.py
+++ b/lagoonpost/cli/ticket.py
@@ -9,7 +9,7 @@
 
 import click
 
-from lagoonpost.cli.operator import Gateways
+from lagoonpost.cli.operator import OperatorClient
 from lagoonpost.cli.option import (
     OPERATOR_KEY_VARIABLE,
     ExitCode,
@@ -77,7 +77,7 @@
     """Show what FILE would change in what is in force."""
     loaded = _load(settings, file)
 
-    async def run(gateways: Gateways) -> Response:
+    async def run(gateways: OperatorClient) -> Response:
         return await gateways.call_any("GET", "/v1/declaration?objects=1")
 
     body = _read(settings, _run(settings, run))
@@ -107,7 +107,7 @@
     """Hand FILE in and wait until it is in force at all entries."""
     loaded = _load(settings, file)
 
-    async def run(gateways: Gateways) -> tuple[Response, int]:
+    async def run(gateways: OperatorClient) -> tuple[Response, int]:
         body = format_content(loaded)
         response = await gateways.call_any("POST", "/v1/tickets", body)
         if response.status != 200:
@@ -132,7 +132,7 @@
 def status(settings: dict[str, Any], number: int) -> None:
     """Show ticket NUMBER, and at how many entries it is in force."""
 
-    async def run(gateways: Gateways) -> tuple[Response, int]:
+    async def run(gateways: OperatorClient) -> tuple[Response, int]:
         path = f"/v1/tickets/{number}"
         response = await gateways.call_any("GET", path)
         if response.status != 200:
@@ -158,7 +158,7 @@
 def history(settings: dict[str, Any], after: int, limit: int) -> None:
     """List accepted tickets by number."""
 
-    async def run(gateways: Gateways) -> Response:
+    async def run(gateways: OperatorClient) -> Response:
         path = f"/v1/tickets?after={after}&limit={limit}"
         return await gateways.call_any("GET", path)
 
@@ -172,7 +172,9 @@
     return f"ticket {number}, revision {revision}, {who}"
 
 
-async def _wait(gateways: Gateways, revision: int, seconds: float) -> int:
+async def _wait(
+    gateways: OperatorClient, revision: int, seconds: float
+) -> int:
     loop = asyncio.get_running_loop()
     deadline = loop.time() + seconds
     total = len(gateways.entries)
@@ -187,7 +189,7 @@
         await asyncio.sleep(POLL_SECONDS)
 
 
-async def _count_in_force(gateways: Gateways, revision: int) -> int:
+async def _count_in_force(gateways: OperatorClient, revision: int) -> int:
     async def ask(entry: Address) -> bool:
         try:
             response = await gateways.call(entry, "GET", "/v1/declaration")
@@ -216,14 +218,14 @@
 
 
 def _run(
-    settings: dict[str, Any], job: Callable[[Gateways], Awaitable[_T]]
+    settings: dict[str, Any], job: Callable[[OperatorClient], Awaitable[_T]]
 ) -> _T:
     if not settings["entries"]:
         raise click.UsageError("give at least one --entry HOST:PORT")
     key = read_secret(OPERATOR_KEY_VARIABLE)
 
     async def run() -> _T:
-        gateways = Gateways(settings["entries"], key)
+        gateways = OperatorClient(settings["entries"], key)
         try:
             return await job(gateways)
         finally:
--- a/lagoonpost/cli/timeline.py
+++ b/lagoonpost/cli/timeline.py
@@ -6,7 +6,7 @@
 
 import click
 
-from lagoonpost.cli.explain import Line, read_log
+from lagoonpost.cli.explain import LogLine, read_log
 from lagoonpost.cli.option import ExitCode, fail, logs_option
 
 GROUP_SECONDS = 5.0
@@ -81,7 +81,7 @@
     spread: float
 
 
-def find_events(lines: Iterable[Line]) -> list[Event]:
+def group_events(lines: Iterable[LogLine]) -> list[Event]:
     """Return all changes in the order in which they first showed."""
     events: list[Event] = []
     open_events: dict[str, int] = {}
@@ -104,7 +104,7 @@
     return events
 
 
-def tell_event(event: Event, start: float) -> str:
+def format_event(event: Event, start: float) -> str:
     """Return the line of one event."""
     names = ", ".join(each.removesuffix(".log") for each in event.gateways)
     where = names
@@ -124,8 +124,8 @@
     lines = [line for path in paths for line in read_log(path)]
     if not runners:
         lines = [each for each in lines if each.kind not in _RUNNER_KINDS]
-    events = find_events(lines)
+    events = group_events(lines)
     if not events:
         raise fail("no log names a change", ExitCode.NOT_FOUND)
     for event in events:
-        click.echo(tell_event(event, events[0].at))
+        click.echo(format_event(event, events[0].at))
--- a/lagoonpost/declarations/content.py
+++ b/lagoonpost/declarations/content.py
@@ -6,7 +6,11 @@
 
 import msgspec
 
-from lagoonpost.declarations.schema import KINDS, SECTIONS, find_unknown
+from lagoonpost.declarations.schema import (
+    KIND_BY_SECTION,
+    SPEC_BY_KIND,
+    find_unknown_fields,
+)
 from lagoonpost.tables.ticket import (
     ABSENT,
     FieldError,
@@ -15,7 +19,7 @@
     Ticket,
 )
 
-MAX_NUMBER = 99_999_999
+MAX_TICKET_NUMBER = 99_999_999
 """Row keys carry eight digits, so that they sort by number."""
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
@@ -38,8 +42,8 @@
     for section, named in content.items():
         if section in _HEAD:
             continue
-        if section not in SECTIONS:
-            allowed = ", ".join((*sorted(_HEAD), *SECTIONS))
+        if section not in KIND_BY_SECTION:
+            allowed = ", ".join((*sorted(_HEAD), *KIND_BY_SECTION))
             faults.append(
                 FieldError(str(section), f"unknown; one of {allowed}")
             )
@@ -50,7 +54,7 @@
         else:
             for name, raw in named.items():
                 path = f"{section}.{name}"
-                kind = SECTIONS[section]
+                kind = KIND_BY_SECTION[section]
                 state = _check_object(kind, name, raw, path, faults)
                 objects[f"{kind}/{name}"] = state
     if not objects and not faults:
@@ -62,7 +66,7 @@
 
 def format_content(ticket: Ticket) -> dict[str, Any]:
     """Return the plain data that ``parse_ticket`` reads as ``ticket``."""
-    section_of = {kind: section for section, kind in SECTIONS.items()}
+    section_of = {kind: section for section, kind in KIND_BY_SECTION.items()}
     content: dict[str, Any] = {
         "ticket": ticket.number,
         "reason": ticket.reason,
@@ -77,8 +81,8 @@
     faults = []
     number = content.get("ticket")
     # A YAML `true` is an int to Python.
-    if type(number) is not int or not 1 <= number <= MAX_NUMBER:
-        message = f"expected a whole number from 1 to {MAX_NUMBER}"
+    if type(number) is not int or not 1 <= number <= MAX_TICKET_NUMBER:
+        message = f"expected a whole number from 1 to {MAX_TICKET_NUMBER}"
         faults.append(FieldError("ticket", message))
     reason = content.get("reason")
     if not isinstance(reason, str) or not reason.strip():
@@ -99,12 +103,12 @@
     if raw == ABSENT:
         return ABSENT
     try:
-        spec = msgspec.convert(raw, KINDS[kind])
+        spec = msgspec.convert(raw, SPEC_BY_KIND[kind])
     except msgspec.ValidationError as error:
         message, _, place = str(error).partition(" - at `$")
         faults.append(FieldError(path + place.rstrip("`"), message))
         return ABSENT
-    for unknown in find_unknown(raw, spec):
+    for unknown in find_unknown_fields(raw, spec):
         faults.append(FieldError(path + unknown[1:], "unknown field"))
     state: ObjectState = msgspec.to_builtins(spec)
     return state
--- a/lagoonpost/declarations/schema.py
+++ b/lagoonpost/declarations/schema.py
@@ -77,7 +77,7 @@
     key_sha256: Digest
 
 
-SECTIONS: dict[str, str] = {
+KIND_BY_SECTION: dict[str, str] = {
     "services": "service",
     "versions": "version",
     "workspaces": "workspace",
@@ -87,7 +87,7 @@
 }
 """Section of the file by the kind of its objects."""
 
-KINDS: dict[str, type[Struct]] = {
+SPEC_BY_KIND: dict[str, type[Struct]] = {
     "service": ServiceSpec,
     "version": VersionSpec,
     "workspace": WorkspaceSpec,
@@ -97,13 +97,15 @@
 }
 
 
-def find_unknown(raw: Any, spec: Any, path: str = "$") -> list[str]:
+def find_unknown_fields(raw: Any, spec: Any, path: str = "$") -> list[str]:
     """Return the paths in ``raw`` that ``spec`` has no field for."""
     if isinstance(spec, list):
         return [
             found
             for index, item in enumerate(spec)
-            for found in find_unknown(raw[index], item, f"{path}[{index}]")
+            for found in find_unknown_fields(
+                raw[index], item, f"{path}[{index}]"
+            )
         ]
     if not isinstance(spec, Struct):
         return []
@@ -116,5 +118,5 @@
             found.append(f"{path}.{key}")
         else:
             inner = getattr(spec, names[key])
-            found += find_unknown(value, inner, f"{path}.{key}")
+            found += find_unknown_fields(value, inner, f"{path}.{key}")
     return found
--- a/lagoonpost/declarations/state.py
+++ b/lagoonpost/declarations/state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lagoonpost.declarations.schema import (
-    KINDS,
+    SPEC_BY_KIND,
     MoveSpec,
     OperatorSpec,
     RouteSpec,
@@ -28,11 +28,11 @@
 )
 from lagoonpost.tables.ticket import ABSENT, FieldError, ObjectRecord, Snapshot
 
-SHARE_ERROR = 1e-6
+SHARE_TOLERANCE = 1e-6
 """Shares are typed as decimals; their sum may be off by rounding."""
 
 
-def declare(snapshot: Snapshot) -> Declaration:
+def build_declaration(snapshot: Snapshot) -> Declaration:
     """Return the entities that the objects of ``snapshot`` describe.
 
     Objects that this release cannot read are left out, so that gateways of
@@ -41,10 +41,10 @@
     entities: dict[str, list[Any]] = defaultdict(list)
     for key, record in sorted(snapshot.objects.items()):
         kind, _, name = key.partition("/")
-        if record.state == ABSENT or kind not in KINDS:
+        if record.state == ABSENT or kind not in SPEC_BY_KIND:
             continue
         try:
-            spec = msgspec.convert(record.state, KINDS[kind])
+            spec = msgspec.convert(record.state, SPEC_BY_KIND[kind])
         except msgspec.ValidationError:
             continue
         entities[kind].append(_MAKERS[kind](name, spec, record.ticket))
@@ -70,7 +70,7 @@
     return merged
 
 
-def find_misfits(declaration: Declaration) -> Iterator[FieldError]:
+def find_inconsistencies(declaration: Declaration) -> Iterator[FieldError]:
     """Yield what refers to something undeclared or clashes."""
     names = _collect_names(declaration)
     yield from _find_dangling(declaration, names)
@@ -123,7 +123,7 @@
     for version in declaration.versions:
         sums[version.service] += version.share
     for service, total in sums.items():
-        if abs(total - 1) > SHARE_ERROR:
+        if abs(total - 1) > SHARE_TOLERANCE:
             message = f"shares of all versions add up to {total:g}, not 1"
             yield FieldError(f"versions.{service}", message)
 
--- a/lagoonpost/forwarding/daemon.py
+++ b/lagoonpost/forwarding/daemon.py
@@ -149,7 +149,7 @@
             self._shifts.handle_row,
         )
         self._server = Server(
-            self._forwarder.handle, Limits(), cancel_when_gone=True
+            self._forwarder.handle, Limits(), cancel_on_disconnect=True
         )
         self.view.on_configuration.append(self._apply_limits)
         directory = Directory(
--- a/lagoonpost/forwarding/relay.py
+++ b/lagoonpost/forwarding/relay.py
@@ -10,7 +10,7 @@
 )
 from lagoonpost.forwarding.exchange import Exchange
 from lagoonpost.forwarding.migration import Migrations
-from lagoonpost.http.events import EventCutter, RawEvent
+from lagoonpost.http.events import EventSplitter, RawEvent
 from lagoonpost.http.responder import Responder
 from lagoonpost.platform.headers import make_response_headers
 from lagoonpost.systems.placement import Choice
@@ -61,7 +61,7 @@
     exchange: Exchange, began: Began, responder: Responder
 ) -> Began | Broken | Silent:
     call = began.call
-    cutter = EventCutter()
+    cutter = EventSplitter()
     idle_timeout = STREAM_IDLE_TIMEOUT_SECONDS if exchange.idempotent else None
     data: bytes | Broken | Silent = began.first
     while isinstance(data, bytes) and data:
@@ -69,7 +69,7 @@
         data = await call.read(idle_timeout)
     if not isinstance(data, bytes):
         return data
-    if cutter.rest:
+    if cutter.remainder:
         return Broken("the stream ended within an event")
     return began
 
--- a/lagoonpost/gateway/chat.py
+++ b/lagoonpost/gateway/chat.py
@@ -27,7 +27,7 @@
 )
 from lagoonpost.http.message import Request, Response
 from lagoonpost.http.problem import make_problem
-from lagoonpost.http.responder import PeerGoneError, Responder
+from lagoonpost.http.responder import ClientDisconnectedError, Responder
 from lagoonpost.runners.answer import Completed, Failed, Part
 from lagoonpost.systems.event import Abandoned, Refuse
 from lagoonpost.tables.entity import Route, Workspace
@@ -197,7 +197,7 @@
             try:
                 async for item in items:
                     await _deliver(gateway, item, sink)
-            except (PeerGoneError, asyncio.CancelledError):
+            except (ClientDisconnectedError, asyncio.CancelledError):
                 # The caller may resume at any gateway, so the runner must not
                 # drop the answer when this connection closes.
                 answer.detach()
@@ -230,7 +230,7 @@
 
 
 async def _keep_alive(sink: AnswerSink) -> None:
-    with suppress(PeerGoneError):
+    with suppress(ClientDisconnectedError):
         while True:
             await asyncio.sleep(KEEP_ALIVE_CHECK_SECONDS)
             await sink.keep_alive()
--- a/lagoonpost/gateway/server.py
+++ b/lagoonpost/gateway/server.py
@@ -10,7 +10,7 @@
 from lagoonpost.gateway.state import Gateway
 from lagoonpost.http.message import Request, Response
 from lagoonpost.http.problem import make_problem
-from lagoonpost.http.responder import PeerGoneError, Responder
+from lagoonpost.http.responder import ClientDisconnectedError, Responder
 from lagoonpost.tables.entity import Workspace
 
 Access = Literal["open", "workspace", "operator"]
@@ -155,7 +155,7 @@
         return
     try:
         await route.handler(gateway, request, responder, allowed)
-    except PeerGoneError:
+    except ClientDisconnectedError:
         gateway.metrics.count("caller_gone")
         eliot.log_message(
             message_type="lagoonpost:gateway:caller_gone", path=request.path
--- a/lagoonpost/gateway/tickets.py
+++ b/lagoonpost/gateway/tickets.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lagoonpost.declarations.content import MAX_NUMBER, parse_ticket
+from lagoonpost.declarations.content import MAX_TICKET_NUMBER, parse_ticket
 from lagoonpost.http.message import (
     Headers,
     Request,
@@ -138,7 +138,7 @@
 
 def _is_number(text: str) -> bool:
     plain = text.isascii() and text.isdecimal() and len(text) <= 8
-    return plain and int(text) <= MAX_NUMBER
+    return plain and int(text) <= MAX_TICKET_NUMBER
 
 
 def _make_accepted(
--- a/lagoonpost/http/client.py
+++ b/lagoonpost/http/client.py
@@ -14,11 +14,11 @@
     find_header,
 )
 
-READ_SIZE = 65536
-CONNECT_SECONDS = 1.0
-IDLE_SECONDS = 5.0
-IDLE_PER_ADDRESS = 32
-MAX_BODY = 64 * 1024 * 1024
+READ_BYTES = 65536
+CONNECT_TIMEOUT_SECONDS = 1.0
+IDLE_TIMEOUT_SECONDS = 5.0
+MAX_IDLE_PER_ADDRESS = 32
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class CallFailedError(Exception):
@@ -95,7 +95,7 @@
             else:
                 raise CallFailedError("the body was cut off", sent=True)
 
-    async def read(self, limit: int = MAX_BODY) -> Response:
+    async def read(self, limit: int = MAX_BODY_BYTES) -> Response:
         """Read the whole body."""
         body = bytearray()
         async for part in self.parts():
@@ -135,7 +135,7 @@
                 event = self._connection.next_event()
                 if event is not h11.NEED_DATA:
                     return event  # type: ignore[return-value]
-                data = await self._socket.reader.read(READ_SIZE)
+                data = await self._socket.reader.read(READ_BYTES)
                 self._connection.receive_data(data)
         except (OSError, h11.RemoteProtocolError) as error:
             raise CallFailedError(str(error), sent=True) from error
@@ -144,7 +144,7 @@
 class Client:
     """Calls servers by address and keeps a few idle connections."""
 
-    def __init__(self, idle_seconds: float = IDLE_SECONDS) -> None:
+    def __init__(self, idle_seconds: float = IDLE_TIMEOUT_SECONDS) -> None:
         self._idle: dict[Address, list[_Idle]] = {}
         self._idle_seconds = idle_seconds
 
@@ -212,7 +212,7 @@
         *,
         fresh: bool = False,
         may_send: Callable[[], bool] | None = None,
-        connect_seconds: float = CONNECT_SECONDS,
+        connect_seconds: float = CONNECT_TIMEOUT_SECONDS,
     ) -> Stream:
         """Send a request and return its response before its head came.
 
@@ -272,7 +272,7 @@
 
     def _keep(self, address: Address, socket: _Socket) -> None:
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= IDLE_PER_ADDRESS:
+        if len(idle) >= MAX_IDLE_PER_ADDRESS:
             socket.writer.close()
             return
         now = asyncio.get_running_loop().time()
@@ -283,7 +283,7 @@
     try:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(
-                address.host, address.port, limit=READ_SIZE
+                address.host, address.port, limit=READ_BYTES
             )
     except (OSError, TimeoutError) as error:
         detail = f"cannot connect to {address}"
--- a/lagoonpost/http/events.py
+++ b/lagoonpost/http/events.py
@@ -48,7 +48,7 @@
 _EVENT_ID = re.compile(rb"(?m)^id:[ ]?([^\r\n]*)")
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts the bytes of a stream into whole events, unchanged.
 
     A stream may break off in the middle of an event. What was passed on
@@ -59,7 +59,7 @@
         self._rest = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of an event that has not ended."""
         return self._rest
 
--- a/lagoonpost/http/responder.py
+++ b/lagoonpost/http/responder.py
@@ -29,7 +29,7 @@
     buffer: int = 256 * 1024
 
 
-class PeerGoneError(Exception):
+class ClientDisconnectedError(Exception):
     """The peer closed or stopped reading before its response was sent."""
 
 
@@ -88,7 +88,7 @@
         self.finished = True
         await self._write(end)
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Tell whether the connection to the peer is known to be lost."""
         return self._writer.is_closing()
 
@@ -109,7 +109,7 @@
 
     async def _write(self, data: bytes) -> None:
         if self._writer.is_closing():
-            raise PeerGoneError("connection closed")
+            raise ClientDisconnectedError("connection closed")
         self._writer.write(data)
         if self._writer.transport.get_write_buffer_size() == 0:
             return
@@ -120,4 +120,4 @@
                 await self._writer.drain()
         except (TimeoutError, OSError) as error:
             self._writer.transport.abort()
-            raise PeerGoneError("peer stopped reading") from error
+            raise ClientDisconnectedError("peer stopped reading") from error
--- a/lagoonpost/http/server.py
+++ b/lagoonpost/http/server.py
@@ -14,9 +14,13 @@
     Response,
     make_json_response,
 )
-from lagoonpost.http.responder import Limits, PeerGoneError, Responder
+from lagoonpost.http.responder import (
+    ClientDisconnectedError,
+    Limits,
+    Responder,
+)
 
-READ_SIZE = 65536
+READ_BYTES = 65536
 
 
 Handler = Callable[[Request, Responder], Awaitable[None]]
@@ -73,11 +77,11 @@
         self,
         handler: Handler,
         limits: Limits | None = None,
-        cancel_when_gone: bool = False,
+        cancel_on_disconnect: bool = False,
     ) -> None:
         self._handler = handler
         self.limits = limits or Limits()
-        self._cancel_when_gone = cancel_when_gone
+        self._cancel_when_gone = cancel_on_disconnect
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._idle: set[asyncio.StreamWriter] = set()
@@ -96,7 +100,7 @@
         loop = asyncio.get_running_loop()
 
         def make_protocol() -> asyncio.StreamReaderProtocol:
-            reader = _CallerReader(limit=READ_SIZE, loop=loop)
+            reader = _CallerReader(limit=READ_BYTES, loop=loop)
             return asyncio.StreamReaderProtocol(reader, self._serve, loop=loop)
 
         self._server = await loop.create_server(
@@ -140,7 +144,7 @@
         writer.transport.set_write_buffer_limits(high=self.limits.buffer)
         try:
             await self._converse(reader, writer)
-        except (PeerGoneError, OSError, h11.LocalProtocolError):
+        except (ClientDisconnectedError, OSError, h11.LocalProtocolError):
             pass
         except asyncio.CancelledError:
             # Cancelled by `close`; asyncio's own callback would log it as an
@@ -200,7 +204,7 @@
         task = asyncio.current_task()
         assert task is not None and isinstance(reader, _CallerReader)
         if reader.gone:
-            raise PeerGoneError("the caller closed the connection")
+            raise ClientDisconnectedError("the caller closed the connection")
         cancelled = False
 
         def cancel() -> None:
@@ -216,7 +220,9 @@
             if not cancelled:
                 raise
             task.uncancel()
-            raise PeerGoneError("the caller closed the connection") from None
+            raise ClientDisconnectedError(
+                "the caller closed the connection"
+            ) from None
         finally:
             reader.on_gone = None
 
@@ -273,10 +279,10 @@
 ) -> bytes:
     try:
         async with asyncio.timeout_at(deadline):
-            return await reader.read(READ_SIZE)
+            return await reader.read(READ_BYTES)
     except TimeoutError as error:
         if not started:
-            raise PeerGoneError("no request came") from error
+            raise ClientDisconnectedError("no request came") from error
         raise BadRequestError(408, "the request came too slowly") from error
 
 
--- a/lagoonpost/settings.py
+++ b/lagoonpost/settings.py
@@ -6,9 +6,9 @@
 
 from lagoonpost.http.message import Address, parse_address
 
-KEY_LENGTH = 16
-MAX_GRACE = 3600.0
-SECRETS = frozenset({"signing_key"})
+MIN_KEY_LENGTH = 16
+MAX_GRACE_SECONDS = 3600.0
+SECRET_SETTINGS = frozenset({"signing_key"})
 _DIGEST = re.compile(r"[0-9a-f]{64}\Z")
 _NAME = re.compile(r"[a-z0-9][a-z0-9.-]{0,62}\Z")
 
@@ -60,7 +60,7 @@
     failure_domain: str = "a"
 
 
-class SettingFault(NamedTuple):
+class InvalidSetting(NamedTuple):
     """One wrong setting, with its value unless that is a secret."""
 
     setting: str
@@ -69,7 +69,7 @@
 
     def __str__(self) -> str:
         flag = "--" + self.setting.replace("_", "-")
-        if self.setting in SECRETS:
+        if self.setting in SECRET_SETTINGS:
             flag = f"LAGOONPOST_{self.setting.upper()}"
         return f"{flag}: {self.value!r} is not {self.allowed}"
 
@@ -86,7 +86,7 @@
 
 
 def _read_key(text: str) -> str:
-    if len(text) < KEY_LENGTH:
+    if len(text) < MIN_KEY_LENGTH:
         raise ValueError("too short")
     return text
 
@@ -99,7 +99,7 @@
 
 def _read_grace(text: str) -> float:
     grace = float(text)
-    if not 0 <= grace <= MAX_GRACE:
+    if not 0 <= grace <= MAX_GRACE_SECONDS:
         raise ValueError(text)
     return grace
 
@@ -111,7 +111,7 @@
     "listen": _ADDRESS,
     "platform": _ADDRESS,
     "signing_key": _Rule(
-        _read_key, f"a secret of {KEY_LENGTH} characters or more"
+        _read_key, f"a secret of {MIN_KEY_LENGTH} characters or more"
     ),
     "peer_listen": _ADDRESS,
     "advertise": _ADDRESS,
@@ -120,7 +120,7 @@
     "failure_domain": _PLACE,
     "host": _PLACE,
     "operator_digests": _Rule(_read_digest, "a SHA-256 in 64 hex digits"),
-    "grace": _Rule(_read_grace, f"a number from 0 to {MAX_GRACE:g}"),
+    "grace": _Rule(_read_grace, f"a number from 0 to {MAX_GRACE_SECONDS:g}"),
     "statsd": _ADDRESS,
     "seed": _Rule(int, "a whole number"),
 }
@@ -130,19 +130,19 @@
 def read_settings(
     kind: type[Settings],
     values: Mapping[str, str | tuple[str, ...] | None],
-) -> Settings | list[SettingFault]:
+) -> Settings | list[InvalidSetting]:
     """Check all values and return the settings, or every fault.
 
     Args:
         kind: The daemon's settings; fields without a default are required.
         values: Text by setting; None or empty for one that is not given.
     """
-    faults: list[SettingFault] = []
+    faults: list[InvalidSetting] = []
     read: dict[str, Any] = {}
     for name in kind._fields:
         if name not in kind._field_defaults and not values.get(name):
             allowed = f"given; it has to be {_RULES[name].allowed}"
-            faults.append(SettingFault(name, "", allowed))
+            faults.append(InvalidSetting(name, "", allowed))
     for name, value in values.items():
         if not value:
             continue
@@ -152,11 +152,11 @@
     return faults or kind(**read)
 
 
-def _read(name: str, text: str, faults: list[SettingFault]) -> Any:
+def _read(name: str, text: str, faults: list[InvalidSetting]) -> Any:
     rule = _RULES[name]
     try:
         return rule.read(text)
     except ValueError:
-        shown = "(secret)" if name in SECRETS else text
-        faults.append(SettingFault(name, shown, rule.allowed))
+        shown = "(secret)" if name in SECRET_SETTINGS else text
+        faults.append(InvalidSetting(name, shown, rule.allowed))
         return None
--- a/lagoonpost/store/watch.py
+++ b/lagoonpost/store/watch.py
@@ -6,7 +6,7 @@
 
 import eliot
 
-from lagoonpost.declarations.state import declare, merge_objects
+from lagoonpost.declarations.state import build_declaration, merge_objects
 from lagoonpost.store.declaration import (
     Head,
     ReadConflict,
@@ -206,7 +206,7 @@
 
     def _activate(self, snapshot: Snapshot, source: str) -> None:
         self._snapshot = snapshot
-        self._declaration = declare(snapshot)
+        self._declaration = build_declaration(snapshot)
         for revision in [*self._pending]:
             if revision <= snapshot.revision:
                 del self._pending[revision]
--- a/lagoonpost/systems/ticket.py
+++ b/lagoonpost/systems/ticket.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from lagoonpost.declarations.state import (
-    declare,
-    find_misfits,
+    build_declaration,
+    find_inconsistencies,
     merge_objects,
 )
 from lagoonpost.systems.move import compute_earliest_deadline
@@ -82,7 +82,7 @@
             f" {move.to_version} is loaded; all requests stay with"
             f" {move.from_version}",
         )
-        for move in declare(alone).moves
+        for move in build_declaration(alone).moves
         if move.deadline < earliest
     ]
 
@@ -114,7 +114,7 @@
     # A ticket that changes a version in the middle of its move, or drops only
     # the move, would leave open which share is in force: the ticket's, the
     # move's, or after `done` the old version's again, with all traffic.
-    for move in declare(current).moves:
+    for move in build_declaration(current).moves:
         required = {
             f"move/{move.service}": f"moves.{move.service}",
             **{
@@ -137,7 +137,7 @@
 ) -> Iterable[FieldError]:
     # Faults that already exist, accepted by a release with laxer checks, must
     # not block every later ticket; only new faults are refused.
-    known = set(find_misfits(declare(current)))
-    for fault in find_misfits(declare(updated)):
+    known = set(find_inconsistencies(build_declaration(current)))
+    for fault in find_inconsistencies(build_declaration(updated)):
         if fault not in known:
             yield fault
--- a/lagoonpost_standins/engine_feed.py
+++ b/lagoonpost_standins/engine_feed.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from lagoonpost.http.responder import PeerGoneError, Responder
+from lagoonpost.http.responder import ClientDisconnectedError, Responder
 from lagoonpost_standins.engine_batch import Answer
 from lagoonpost_standins.engine_fault import Faults
 
@@ -64,7 +64,7 @@
             events = answer.events[position:]
             events = self._limit(events, position, connection)
             if connection.cut:
-                raise PeerGoneError("cut by a fault")
+                raise ClientDisconnectedError("cut by a fault")
             if events and not connection.silent:
                 data = self._shuffle(events, answer, position)
                 await responder.write(b"".join(data))
--- a/lagoonpost_standins/forwarded.py
+++ b/lagoonpost_standins/forwarded.py
@@ -94,7 +94,7 @@
         self.runs: Counter[str] = Counter()
         self.cancelled: list[str] = []
         self.address = Address("127.0.0.1", 0)
-        self._server = Server(self.handle, cancel_when_gone=True)
+        self._server = Server(self.handle, cancel_on_disconnect=True)
 
     async def start(self) -> Address:
         """Listen on a free port."""
--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -6,7 +6,7 @@
 import msgspec
 from stack import CHAT, Stack, make_chat, play
 
-from lagoonpost.caller.client import Ended, Problem, Token
+from lagoonpost.caller.client import Finished, Problem, Token
 from lagoonpost.http.message import Address, Response
 
 PROMPT = "A term plan for wheel classes in spring"
@@ -73,7 +73,7 @@
         text, rest, whole = play(story)
         choice = msgspec.json.decode(whole.body)["choices"][0]
         assert choice["message"]["content"] == text
-        assert [type(event) for event in rest] == [Ended]
+        assert [type(event) for event in rest] == [Finished]
 
     def test_many_callers_each_get_their_own_answer(self) -> None:
         async def story(stack: Stack) -> list[tuple[bytes, bytes]]:
--- a/test/test_http.py
+++ b/test/test_http.py
@@ -13,7 +13,11 @@
     Response,
     parse_address,
 )
-from lagoonpost.http.responder import Limits, PeerGoneError, Responder
+from lagoonpost.http.responder import (
+    ClientDisconnectedError,
+    Limits,
+    Responder,
+)
 from lagoonpost.http.server import Server
 
 LOOPBACK = Address("127.0.0.1", 0)
@@ -121,7 +125,7 @@
                 while written < 4096:
                     await responder.write(part)
                     written += 1
-            except PeerGoneError:
+            except ClientDisconnectedError:
                 gone.set()
 
         async def story() -> None:
@@ -175,7 +179,7 @@
                 ended.set()
 
         async def story() -> None:
-            server = Server(wait, cancel_when_gone=True)
+            server = Server(wait, cancel_on_disconnect=True)
             address = await server.start(LOOPBACK)
             _, writer = await asyncio.open_connection(*address)
             writer.write(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -194,7 +198,7 @@
             await responder.send(Response(200, (), request.path.encode()))
 
         async def story() -> bytes:
-            server = Server(answer_late, cancel_when_gone=True)
+            server = Server(answer_late, cancel_on_disconnect=True)
             address = await server.start(LOOPBACK)
             reader, writer = await asyncio.open_connection(*address)
             for path in (b"/one", b"/two"):
@@ -213,7 +217,7 @@
             await asyncio.sleep(3600)
 
         async def story() -> bytes:
-            server = Server(wait, cancel_when_gone=True)
+            server = Server(wait, cancel_on_disconnect=True)
             address = await server.start(LOOPBACK)
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -7,7 +7,7 @@
 from stack import CHAT, FAST, Stack, make_chat, play
 from test_gateway import PROMPT, pick_text
 
-from lagoonpost.caller.client import Ended, Resumed, Token, parse_location
+from lagoonpost.caller.client import Finished, Resumed, Token, parse_location
 from lagoonpost.http.message import Response
 
 SLOW = FAST._replace(token_rate=100.0)
@@ -60,7 +60,7 @@
         moved, end = rest
         assert isinstance(moved, Resumed)
         assert moved.cause == "moved"
-        assert isinstance(end, Ended)
+        assert isinstance(end, Finished)
         assert recomputed == 0
 
     def test_a_waiting_caller_is_sent_to_the_peer_that_has_its_answer(
