--- a/bench/gossip_member.py
+++ b/bench/gossip_member.py
@@ -120,7 +120,7 @@
 @click.option("--region", default="north")
 @click.option("--failure-domain", default="north-0")
 @click.option("--seed", multiple=True)
-@click.option("--channels", default=pool.POOL_CHANNELS)
+@click.option("--channels", default=pool.MAX_POOLED_CHANNELS)
 @click.option("--rings", default=membership.RINGS)
 def main(
     name: str,
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -203,7 +203,7 @@
         if way == "notice":
             deadline = asyncio.get_running_loop().time() + 1.5
             for answer in answers:
-                answer.leave(deadline)
+                answer.announce_reclaim(deadline)
             await asyncio.sleep(1.5)
         begun = sum(len(answer.tokens) for answer in answers)
         before = await old.count(client)
--- a/lagoonpost/cli/margins.py
+++ b/lagoonpost/cli/margins.py
@@ -9,10 +9,10 @@
 
 from lagoonpost.cli.option import ExitCode, fail, logs_option
 from lagoonpost.margins.duties import Tenure, list_tenures
-from lagoonpost.margins.finding import find_margins
 from lagoonpost.margins.line import Dropped, LeaseChange
+from lagoonpost.margins.log_reader import LogError, Logs, read_logs
 from lagoonpost.margins.margin import Margin
-from lagoonpost.margins.reading import LogError, Logs, read_logs
+from lagoonpost.margins.rules import find_margins
 
 MAX_NAMED_GATEWAYS = 4
 """Rows that concern more gateways show only their number."""
--- a/lagoonpost/forwarding/peer_sync.py
+++ b/lagoonpost/forwarding/peer_sync.py
@@ -13,8 +13,8 @@
 from lagoonpost.forwarding.usage_gossip import UsageGossip
 from lagoonpost.http.message import Address, parse_address
 from lagoonpost.peers.message import Document
+from lagoonpost.peers.messenger import DatagramMessenger
 from lagoonpost.peers.node import Peers, PeerSettings, make_clock
-from lagoonpost.peers.post import Post
 from lagoonpost.platform.settings import Bounds, HostSettings
 from lagoonpost.store.store import Store, Unavailable, Write
 from lagoonpost.systems.hub import Roles, choose_roles, should_read_store
@@ -117,7 +117,7 @@
             seeds=settings.seeds,
             entry=settings.entry,
         )
-        post = Post(traffic)
+        post = DatagramMessenger(traffic)
         self.peers = Peers(
             peer_settings,
             self._handle_facts,
@@ -125,7 +125,7 @@
             self._list_documents,
             rng=rng,
             traffic=traffic,
-            post=post,
+            messenger=post,
         )
         self.usage_gossip = UsageGossip(
             settings.name, self.peers.publish, self._find_end, on_recorded
--- a/lagoonpost/forwarding/reports.py
+++ b/lagoonpost/forwarding/reports.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Protocol
 
 from lagoonpost.http.message import Address, parse_address
-from lagoonpost.peers.post import Post
+from lagoonpost.peers.messenger import DatagramMessenger
 from lagoonpost.store.clock import read_clock
 from lagoonpost.systems.hub import ReportAge, Roles
 from lagoonpost.systems.reachability import (
@@ -112,7 +112,7 @@
         find_all_members: Callable[[], tuple[Member, ...]],
         find_roles: Callable[[], Roles],
         clock: Callable[[], float],
-        post: Post,
+        post: DatagramMessenger,
     ) -> None:
         self._name = name
         self._address = address
@@ -122,8 +122,8 @@
         self._find_roles = find_roles
         self._clock = clock
         self._post = post
-        post.receive(GatewayReport, self._handle_report)
-        post.receive(HubSummary, self._handle_summary)
+        post.set_handler(GatewayReport, self._handle_report)
+        post.set_handler(HubSummary, self._handle_summary)
         self.run_id = secrets.token_hex(4)
         self.newest_reports: dict[str, tuple[float, GatewayReport]] = {}
         self._started = 0.0
--- a/lagoonpost/gateway/reclaim.py
+++ b/lagoonpost/gateway/reclaim.py
@@ -97,4 +97,4 @@
         if relayed is None or relayed.runner is None:
             continue
         if relayed.runner.name == runner:
-            relayed.leave(deadline)
+            relayed.announce_reclaim(deadline)
--- a/lagoonpost/margins/duties.py
+++ b/lagoonpost/margins/duties.py
@@ -7,16 +7,16 @@
 from lagoonpost.margins.line import DutyCall, LeaseChange, Line
 from lagoonpost.margins.margin import Margin
 
-_NO_ACT = frozenset({"fenced", "refused"})
+_OUTCOMES_WITHOUT_EFFECT = frozenset({"fenced", "refused"})
 """Outcomes of calls that had no effect. One that got no answer may have."""
 
-BACK_BY_CALLS = "holder back by its calls"
-BACK_BY_LEASE = "holder back by its lease"
-SHARED_BY_CALLS = "two holders with one fence in calls"
-SHARED_BY_LEASE = "two holders with one fence of a lease"
+RETURN_BY_CALLS = "holder back by its calls"
+RETURN_BY_LEASE = "holder back by its lease"
+SHARED_FENCE_BY_CALLS = "two holders with one fence in calls"
+SHARED_FENCE_BY_LEASE = "two holders with one fence of a lease"
 
 
-class Call(NamedTuple):
+class SentCall(NamedTuple):
     """One call of a duty.
 
     Attributes:
@@ -37,7 +37,7 @@
     outcome: str
     what: str
     gateway: str
-    as_sent: bool
+    recorded_at_send: bool
 
 
 class Tenure(NamedTuple):
@@ -67,17 +67,17 @@
         return None if self.until is None else self.until - self.since
 
 
-def list_calls(lines: Iterable[Line[DutyCall]]) -> list[Call]:
+def list_calls(lines: Iterable[Line[DutyCall]]) -> list[SentCall]:
     """Return all calls in the order in which they were sent."""
     return sorted(map(_read_call, lines), key=lambda call: call.at)
 
 
-def _read_call(line: Line[DutyCall]) -> Call:
+def _read_call(line: Line[DutyCall]) -> SentCall:
     said = line.message
     before = 0.0 if said.sent_at is None else said.timestamp - said.sent_at
     usage = said.window is not None
     subject = f"{said.service} in {said.failure_domain}"
-    return Call(
+    return SentCall(
         subject="usage" if usage else subject,
         at=line.at - before,
         holder=said.holder or line.gateway,
@@ -85,11 +85,13 @@
         outcome=said.outcome,
         what=f"usage of window {said.window}" if usage else "order",
         gateway=line.gateway,
-        as_sent=said.sent_at is not None,
+        recorded_at_send=said.sent_at is not None,
     )
 
 
-def find_returns(calls: Iterable[Call], bound: float | None) -> list[Margin]:
+def find_holder_returns(
+    calls: Iterable[SentCall], bound: float | None
+) -> list[Margin]:
     """Return the soonest return of a holder, for each subject.
 
     Args:
@@ -97,24 +99,26 @@
         bound: Seconds within which no holder may act, another one act, and
             the first one act again.
     """
-    by_subject: dict[str, list[Call]] = {}
+    by_subject: dict[str, list[SentCall]] = {}
     for call in calls:
-        if call.outcome not in _NO_ACT:
+        if call.outcome not in _OUTCOMES_WITHOUT_EFFECT:
             by_subject.setdefault(call.subject, []).append(call)
     if not by_subject:
-        return [_no_return("", bound, "no call of a duty had an effect")]
+        return [
+            _make_return_margin("", bound, "no call of a duty had an effect")
+        ]
     return [
-        _find_return(subject, acts, bound)
+        _find_holder_return(subject, acts, bound)
         for subject, acts in sorted(by_subject.items())
     ]
 
 
-def _find_return(
-    subject: str, acts: list[Call], bound: float | None
+def _find_holder_return(
+    subject: str, acts: list[SentCall], bound: float | None
 ) -> Margin:
-    last: dict[str, Call] = {}
-    latest: Call | None = None
-    pairs: list[tuple[Call, Call, Call]] = []
+    last: dict[str, SentCall] = {}
+    latest: SentCall | None = None
+    pairs: list[tuple[SentCall, SentCall, SentCall]] = []
     for act in acts:
         before = last.get(act.holder)
         if before and latest and latest.holder != act.holder:
@@ -122,45 +126,45 @@
         latest = last[act.holder] = act
     if not pairs:
         why = "no holder acted again after another had"
-        return _no_return(subject, bound, why)
+        return _make_return_margin(subject, bound, why)
     before, other, act = min(pairs, key=lambda each: each[2].at - each[0].at)
-    return _no_return(subject, bound, "")._replace(
+    return _make_return_margin(subject, bound, "")._replace(
         value=act.at - before.at,
         at=act.at,
-        what=f"{act.holder} again: {_tell(before)}, then {other.holder}: "
-        f"{_tell(other)}, then {act.holder}: {_tell(act)}",
+        what=f"{act.holder} again: {_describe_call(before)}, then {other.holder}: "
+        f"{_describe_call(other)}, then {act.holder}: {_describe_call(act)}",
         gateways=(act.gateway, other.gateway),
     )
 
 
-def _no_return(subject: str, bound: float | None, why: str) -> Margin:
+def _make_return_margin(subject: str, bound: float | None, why: str) -> Margin:
     return Margin(
-        BACK_BY_CALLS, subject, bound=bound, keeps="at least", what=why
+        RETURN_BY_CALLS, subject, bound=bound, keeps="at least", what=why
     )
 
 
-def _tell(call: Call) -> str:
+def _describe_call(call: SentCall) -> str:
     unknown = ", no answer" if call.outcome == "unknown" else ""
     return f"{call.what} with fence {call.fence}{unknown}"
 
 
-def find_shared_fences(calls: Iterable[Call]) -> Margin:
+def find_shared_fences(calls: Iterable[SentCall]) -> Margin:
     """Return how many fencing numbers two holders sent on one subject.
 
     Args:
         calls: Calls in the order in which they were sent.
     """
-    first: dict[tuple[str, int], Call] = {}
-    shared: dict[tuple[str, int], Call] = {}
+    first: dict[tuple[str, int], SentCall] = {}
+    shared: dict[tuple[str, int], SentCall] = {}
     for call in calls:
         key = call.subject, call.fence
         if first.setdefault(key, call).holder != call.holder:
             shared.setdefault(key, call)
-    margin = Margin(SHARED_BY_CALLS, value=len(shared), bound=0, unit="")
+    margin = Margin(SHARED_FENCE_BY_CALLS, value=len(shared), bound=0, unit="")
     if not shared:
         return margin
     key, call = next(iter(shared.items()))
-    late = "" if call.as_sent else ", as it was after the call"
+    late = "" if call.recorded_at_send else ", as it was after the call"
     return margin._replace(
         subject=call.subject,
         at=call.at,
@@ -204,7 +208,7 @@
         _find_lease_return(lease, list(group), bound)
         for lease, group in _group_by_lease(tenures)
     ]
-    none = Margin(BACK_BY_LEASE, bound=bound, keeps="at least")
+    none = Margin(RETURN_BY_LEASE, bound=bound, keeps="at least")
     return margins or [none._replace(what="no lease was taken")]
 
 
@@ -220,7 +224,7 @@
 def _find_lease_return(
     lease: str, tenures: list[Tenure], bound: float | None
 ) -> Margin:
-    margin = Margin(BACK_BY_LEASE, lease, bound=bound, keeps="at least")
+    margin = Margin(RETURN_BY_LEASE, lease, bound=bound, keeps="at least")
     last: dict[str, Tenure] = {}
     latest: Tenure | None = None
     found: list[tuple[float, Tenure, Tenure]] = []
@@ -261,7 +265,7 @@
         key = tenure.lease, tenure.fence
         if first.setdefault(key, tenure).holder != tenure.holder:
             shared.setdefault(key, tenure)
-    margin = Margin(SHARED_BY_LEASE, value=len(shared), bound=0, unit="")
+    margin = Margin(SHARED_FENCE_BY_LEASE, value=len(shared), bound=0, unit="")
     if not shared:
         return margin
     key, tenure = next(iter(shared.items()))
--- a/lagoonpost/margins/line.py
+++ b/lagoonpost/margins/line.py
@@ -67,7 +67,7 @@
     cause: str = ""
 
 
-class RunnerNews(Message, kw_only=True, gc=False):
+class RunnerUpdate(Message, kw_only=True, gc=False):
     """A gateway learned of a runner.
 
     Attributes:
@@ -81,7 +81,7 @@
     state: str
 
 
-class ConfigurationNews(Message, kw_only=True, gc=False):
+class ConfigurationUpdate(Message, kw_only=True, gc=False):
     """A configuration came in force at a gateway.
 
     Attributes:
@@ -123,13 +123,13 @@
     lines: int
 
 
-KINDS: dict[str, type[Message]] = {
+MESSAGE_TYPES: dict[str, type[Message]] = {
     "lagoonpost:forwarding:started": Started,
     "lagoonpost:duties:usage": DutyCall,
     "lagoonpost:duties:order": DutyCall,
     "lagoonpost:controller:lease": LeaseChange,
-    "lagoonpost:belief:runner": RunnerNews,
-    "lagoonpost:belief:configuration": ConfigurationNews,
+    "lagoonpost:belief:runner": RunnerUpdate,
+    "lagoonpost:belief:configuration": ConfigurationUpdate,
     "lagoonpost:forwarding:request": RequestEnd,
     "lagoonpost:log:dropped": Dropped,
 }
--- a/lagoonpost/margins/reading.py
+++ b/lagoonpost/margins/log_reader.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lagoonpost.margins.line import KINDS, Line, M, Message, Started
+from lagoonpost.margins.line import MESSAGE_TYPES, Line, M, Message, Started
 from lagoonpost.platform.settings import Bounds
 
 _PREFIX = re.compile(rb" *(-?\d+\.\d+) (\S+) (?=\{)")
@@ -22,7 +22,7 @@
     message_type: str = ""
 
 
-class _Found(NamedTuple):
+class _RawLine(NamedTuple):
     """A line as it stands in a file.
 
     Attributes:
@@ -37,7 +37,7 @@
     elapsed: float | None
     gateway: str
     raw: bytes
-    whole: bool
+    terminated: bool
 
 
 class Logs:
@@ -77,7 +77,8 @@
 
 _DECODE_ENVELOPE = msgspec.json.Decoder(_Envelope).decode
 _DECODE = {
-    name: msgspec.json.Decoder(kind).decode for name, kind in KINDS.items()
+    name: msgspec.json.Decoder(kind).decode
+    for name, kind in MESSAGE_TYPES.items()
 }
 
 
@@ -119,7 +120,7 @@
                 name = str(message.settings.get("name", ""))
                 if own and name != own:
                     detail = f"a line of {name} in a log of {own}"
-                    raise _fault(path, row.number, detail)
+                    raise _make_error(path, row.number, detail)
                 own = name
             said.append((at, row.gateway, message))
     own = own or path.name.removesuffix(".log")
@@ -128,7 +129,7 @@
     ]
 
 
-def _find_objects(path: Path, file: Iterable[bytes]) -> Iterator[_Found]:
+def _find_objects(path: Path, file: Iterable[bytes]) -> Iterator[_RawLine]:
     """Yield the objects of a log, which has them in one of two forms.
 
     A gateway's own log has one object a line and nothing else. In a log of
@@ -141,38 +142,40 @@
         whole = raw.endswith(b"\n")
         if match is not None:
             if many is False:
-                raise _fault(path, number, "no JSON object")
+                raise _make_error(path, number, "no JSON object")
             many = True
             elapsed, gateway = float(match[1]), match[2].decode()
             rest = raw[match.end() :]
-            yield _Found(number, elapsed, gateway, rest, whole)
+            yield _RawLine(number, elapsed, gateway, rest, whole)
         elif many:
             continue
         elif raw.startswith(b"{"):
             if other:
-                raise _fault(path, other, "no JSON object")
+                raise _make_error(path, other, "no JSON object")
             many = False
-            yield _Found(number, None, "", raw, whole)
+            yield _RawLine(number, None, "", raw, whole)
         elif many is False and (whole or raw.strip()):
-            raise _fault(path, number, "no JSON object")
+            raise _make_error(path, number, "no JSON object")
         else:
             other = other or number
     if many is None and other:
-        raise _fault(path, other, "no JSON object")
+        raise _make_error(path, other, "no JSON object")
 
 
-def _decode(path: Path, row: _Found) -> Message | None:
+def _decode(path: Path, row: _RawLine) -> Message | None:
     """Return what a line says; None if no margin is read from it."""
     try:
         kind = _DECODE_ENVELOPE(row.raw).message_type
         decode = _DECODE.get(kind)
         return None if decode is None else decode(row.raw)
     except msgspec.DecodeError as error:
-        if not row.whole and not isinstance(error, msgspec.ValidationError):
+        if not row.terminated and not isinstance(
+            error, msgspec.ValidationError
+        ):
             # The process ended while it wrote its last line.
             return None
-        raise _fault(path, row.number, str(error)) from error
+        raise _make_error(path, row.number, str(error)) from error
 
 
-def _fault(path: Path, number: int, detail: str) -> LogError:
+def _make_error(path: Path, number: int, detail: str) -> LogError:
     return LogError(f"{path}, line {number}: {detail}")
--- a/lagoonpost/margins/quota.py
+++ b/lagoonpost/margins/quota.py
@@ -8,21 +8,21 @@
 from lagoonpost.margins.margin import Margin
 from lagoonpost.systems.quota_limit import TOLERANCE_SHARE
 
-_RAN = frozenset({"whole", "began", "moved", "broken", "silent"})
+_EXECUTED_OUTCOMES = frozenset({"whole", "began", "moved", "broken", "silent"})
 """Outcomes of offers that may have run."""
-_LIMIT = 3
+_LIMIT_INDEX = 3
 """Where a request's line has the limit that its gateway kept to."""
 
-USED = "part of a quota used in a window"
+QUOTA_RULE = "part of a quota used in a window"
 
 
-class _Use(NamedTuple):
+class _QuotaUse(NamedTuple):
     at: float
     units: float
     line: Line[RequestEnd]
 
 
-def find_use(
+def find_quota_use(
     requests: Iterable[Line[RequestEnd]],
     window: float | None,
     overage: float | None,
@@ -42,24 +42,26 @@
         overage: Part of a quota that may be used beyond it.
         slack: Units that may be used beyond that.
     """
-    margin = Margin(USED, bound=1.0, unit="", sense="at most")
+    margin = Margin(QUOTA_RULE, bound=1.0, unit="", sense="at most")
     if window is None or overage is None or slack is None:
         return margin._replace(untold="no line says over which window")
-    uses: dict[str, list[_Use]] = {}
+    uses: dict[str, list[_QuotaUse]] = {}
     limits: dict[str, dict[int, float]] = {}
     for line in requests:
         said = line.message
-        if len(said.quota) <= _LIMIT:
+        if len(said.quota) <= _LIMIT_INDEX:
             continue
         by_version = limits.setdefault(said.workspace, {})
-        limit = max(by_version.get(said.version, 0.0), said.quota[_LIMIT])
+        limit = max(
+            by_version.get(said.version, 0.0), said.quota[_LIMIT_INDEX]
+        )
         by_version[said.version] = limit
         if said.units and _may_have_run(said):
-            use = _Use(line.at - said.took, said.units, line)
+            use = _QuotaUse(line.at - said.took, said.units, line)
             uses.setdefault(said.workspace, []).append(use)
     for workspace, held in sorted(uses.items()):
         promised = {
-            version: promise(limit, overage, slack)
+            version: compute_allowance(limit, overage, slack)
             for version, limit in limits[workspace].items()
         }
         margin = _find_fullest(margin, workspace, held, promised, window)
@@ -70,10 +72,10 @@
 
 def _may_have_run(said: RequestEnd) -> bool:
     outcomes = {step.split(":")[1] for step in said.steps if ":" in step}
-    return not outcomes.isdisjoint(_RAN)
+    return not outcomes.isdisjoint(_EXECUTED_OUTCOMES)
 
 
-def promise(limit: float, overage: float, slack: float) -> float:
+def compute_allowance(limit: float, overage: float, slack: float) -> float:
     """Return what a workspace may use, from the limit that is kept to.
 
     Args:
@@ -88,7 +90,7 @@
 def _find_fullest(
     margin: Margin,
     workspace: str,
-    uses: list[_Use],
+    uses: list[_QuotaUse],
     promised: dict[int, float],
     window: float,
 ) -> Margin:
--- a/lagoonpost/margins/finding.py
+++ b/lagoonpost/margins/rules.py
@@ -3,29 +3,33 @@
 from collections.abc import Callable
 
 from lagoonpost.margins.duties import (
+    find_holder_returns,
     find_lease_returns,
-    find_returns,
     find_shared_fences,
     find_shared_lease_fences,
     list_calls,
     list_tenures,
 )
 from lagoonpost.margins.line import (
-    ConfigurationNews,
+    ConfigurationUpdate,
     DutyCall,
     LeaseChange,
     RequestEnd,
-    RunnerNews,
+    RunnerUpdate,
     Started,
 )
+from lagoonpost.margins.log_reader import Logs
 from lagoonpost.margins.margin import Margin
-from lagoonpost.margins.news import find_late_offer, find_older, find_spread
-from lagoonpost.margins.quota import find_use
-from lagoonpost.margins.reading import Logs
+from lagoonpost.margins.quota import find_quota_use
+from lagoonpost.margins.staleness import (
+    find_late_offer,
+    find_slowest_propagation,
+    find_stalest_request,
+)
 
 Finder = Callable[[Logs], list[Margin]]
 
-UNTOLD: dict[str, str] = {
+UNLOGGED_RULES: dict[str, str] = {
     "requests that run more than once": "no line says whether a request may "
     "be repeated",
     "repeats of requests within their budget": "no line says when a request "
@@ -39,13 +43,15 @@
 def find_margins(logs: Logs) -> list[Margin]:
     """Return all margins, and each that the logs don't tell."""
     margins = [margin for finder in _FINDERS for margin in finder(logs)]
-    return margins + [Margin(rule, untold=why) for rule, why in UNTOLD.items()]
+    return margins + [
+        Margin(rule, untold=why) for rule, why in UNLOGGED_RULES.items()
+    ]
 
 
 def _find_calls(logs: Logs) -> list[Margin]:
     calls = list_calls(logs.find(DutyCall))
     bound = logs.find_bound("lease_seconds")
-    return [*find_returns(calls, bound), find_shared_fences(calls)]
+    return [*find_holder_returns(calls, bound), find_shared_fences(calls)]
 
 
 def _find_leases(logs: Logs) -> list[Margin]:
@@ -57,27 +63,27 @@
     ]
 
 
-def _find_news(logs: Logs) -> list[Margin]:
+def _find_staleness(logs: Logs) -> list[Margin]:
     requests = logs.find(RequestEnd)
-    news = logs.find(ConfigurationNews)
+    news = logs.find(ConfigurationUpdate)
     drain = logs.find_bound("drain_seconds")
     apply = logs.find_bound("apply_seconds")
     return [
-        find_late_offer(logs.find(RunnerNews), requests, drain),
-        find_spread(news, logs.find(Started), apply),
-        find_older(news, requests, apply),
+        find_late_offer(logs.find(RunnerUpdate), requests, drain),
+        find_slowest_propagation(news, logs.find(Started), apply),
+        find_stalest_request(news, requests, apply),
     ]
 
 
-def _find_use(logs: Logs) -> list[Margin]:
+def _find_quota_use(logs: Logs) -> list[Margin]:
     names = ("quota_window", "quota_overage", "quota_slack")
     window, overage, slack = map(logs.find_bound, names)
-    return [find_use(logs.find(RequestEnd), window, overage, slack)]
+    return [find_quota_use(logs.find(RequestEnd), window, overage, slack)]
 
 
 _FINDERS: tuple[Finder, ...] = (
     _find_calls,
     _find_leases,
-    _find_news,
-    _find_use,
+    _find_staleness,
+    _find_quota_use,
 )
--- a/lagoonpost/margins/news.py
+++ b/lagoonpost/margins/staleness.py
@@ -6,24 +6,24 @@
 from typing import NamedTuple
 
 from lagoonpost.margins.line import (
-    ConfigurationNews,
+    ConfigurationUpdate,
     Line,
     RequestEnd,
-    RunnerNews,
+    RunnerUpdate,
     Started,
 )
 from lagoonpost.margins.margin import Margin
 
-_REACHED = frozenset({"whole", "began", "moved"})
+_DELIVERED_OUTCOMES = frozenset({"whole", "began", "moved"})
 """Outcomes of offers that surely reached their runner. Others may have been
 lost on the way, or turned away as meant for another runner."""
 
-LEAVING = "offer to a leaving runner"
-SPREAD = "configuration from the first gateway to the last"
-OLDER = "request judged by an older configuration"
+LEAVING_RUNNER_RULE = "offer to a leaving runner"
+PROPAGATION_RULE = "configuration from the first gateway to the last"
+STALE_CONFIGURATION_RULE = "request judged by an older configuration"
 
 
-class Absence(NamedTuple):
+class UnavailablePeriod(NamedTuple):
     """A time for which some gateway knew that a runner leaves or is gone.
 
     Attributes:
@@ -37,9 +37,9 @@
     gateway: str
 
 
-def list_absences(
-    lines: Iterable[Line[RunnerNews]],
-) -> dict[str, list[Absence]]:
+def list_unavailable_periods(
+    lines: Iterable[Line[RunnerUpdate]],
+) -> dict[str, list[UnavailablePeriod]]:
     """Return when runners were leaving or gone, by their ids.
 
     Gateways learn the same news at different times, so that only a newer
@@ -49,7 +49,7 @@
         lines: In the order of time.
     """
     newest: dict[str, int] = {}
-    absences: dict[str, list[Absence]] = {}
+    absences: dict[str, list[UnavailablePeriod]] = {}
     for line in lines:
         said = line.message
         if said.version <= newest.get(said.runner, -1):
@@ -60,12 +60,12 @@
         if said.state == "ready" and away:
             known[-1] = known[-1]._replace(until=line.at)
         elif said.state != "ready" and not away:
-            known.append(Absence(line.at, None, line.gateway))
+            known.append(UnavailablePeriod(line.at, None, line.gateway))
     return absences
 
 
 def find_late_offer(
-    news: Iterable[Line[RunnerNews]],
+    news: Iterable[Line[RunnerUpdate]],
     requests: Iterable[Line[RequestEnd]],
     bound: float | None,
 ) -> Margin:
@@ -75,15 +75,17 @@
     that it was offered at least so late. Of requests that arrived before the
     news nothing is told.
     """
-    absences = list_absences(news)
-    margin = Margin(LEAVING, bound=bound, sense="at least")
+    absences = list_unavailable_periods(news)
+    margin = Margin(LEAVING_RUNNER_RULE, bound=bound, sense="at least")
     for line in requests:
         arrived = line.at - line.message.took
         for step in line.message.steps:
             runner, _, rest = step.partition(":")
-            if rest.partition(":")[0] not in _REACHED:
+            if rest.partition(":")[0] not in _DELIVERED_OUTCOMES:
                 continue
-            absence = _find_absence(absences.get(runner, []), arrived)
+            absence = _find_unavailable_period(
+                absences.get(runner, []), arrived
+            )
             if absence is None:
                 continue
             late = arrived - absence.since
@@ -101,7 +103,9 @@
     return margin
 
 
-def _find_absence(absences: list[Absence], at: float) -> Absence | None:
+def _find_unavailable_period(
+    absences: list[UnavailablePeriod], at: float
+) -> UnavailablePeriod | None:
     """Return the absence in which a time lies."""
     index = bisect_right(absences, at, key=lambda each: each.since)
     if not index:
@@ -111,8 +115,8 @@
     return None if back else absence
 
 
-def find_spread(
-    news: Iterable[Line[ConfigurationNews]],
+def find_slowest_propagation(
+    news: Iterable[Line[ConfigurationUpdate]],
     starts: Iterable[Line[Started]],
     bound: float | None,
 ) -> Margin:
@@ -134,7 +138,7 @@
     first = _find_first(held)
     versions = sorted(first)
     done: dict[str, int] = {}
-    margin = Margin(SPREAD, bound=bound)
+    margin = Margin(PROPAGATION_RULE, bound=bound)
     for line in held:
         gateway, version = line.gateway, line.message.version
         before = done.get(gateway)
@@ -162,8 +166,8 @@
     return margin
 
 
-def find_older(
-    news: Iterable[Line[ConfigurationNews]],
+def find_stalest_request(
+    news: Iterable[Line[ConfigurationUpdate]],
     requests: Iterable[Line[RequestEnd]],
     bound: float | None,
 ) -> Margin:
@@ -183,7 +187,7 @@
     times = [first[each].at for each in versions]
     # For each version, when any of it or a newer one was first in force.
     since = list(accumulate(reversed(times), min))[::-1]
-    margin = Margin(OLDER, bound=bound)
+    margin = Margin(STALE_CONFIGURATION_RULE, bound=bound)
     for line in requests:
         said = line.message
         newer = bisect_right(versions, said.version)
@@ -209,10 +213,10 @@
 
 
 def _find_first(
-    news: Iterable[Line[ConfigurationNews]],
-) -> dict[int, Line[ConfigurationNews]]:
+    news: Iterable[Line[ConfigurationUpdate]],
+) -> dict[int, Line[ConfigurationUpdate]]:
     """Return where and when each version was first in force."""
-    first: dict[int, Line[ConfigurationNews]] = {}
+    first: dict[int, Line[ConfigurationUpdate]] = {}
     for line in news:
         first.setdefault(line.message.version, line)
     return first
--- a/lagoonpost/peers/asking.py
+++ b/lagoonpost/peers/datagram_request.py
@@ -4,16 +4,16 @@
 from collections.abc import Callable
 
 from lagoonpost.http.message import Address
-from lagoonpost.peers.message import Ask, Told
-from lagoonpost.peers.post import Post
+from lagoonpost.peers.message import GossipReply, GossipRequest
+from lagoonpost.peers.messenger import DatagramMessenger
 from lagoonpost.systems.packet import Packet, Reply
 
-ASK_SECONDS = 0.3
+REPLY_TIMEOUT_SECONDS = 0.3
 """Wait for the answer to a letter before the call is made; the way there and
 back between failure domains takes a hundredth, but a host may be slow."""
 
 
-class Asking:
+class DatagramRequests:
     """Requests under way.
 
     Args:
@@ -22,41 +22,41 @@
     """
 
     def __init__(
-        self, post: Post, answer: Callable[[Packet], Reply | None]
+        self, post: DatagramMessenger, answer: Callable[[Packet], Reply | None]
     ) -> None:
-        self._post = post
-        self._answer = answer
-        self._asked = 0
+        self._messenger = post
+        self._handler = answer
+        self._last_number = 0
         self._waiting: dict[int, asyncio.Future[Reply]] = {}
-        post.receive(Ask, self._take_ask)
-        post.receive(Told, self._take_told)
+        post.set_handler(GossipRequest, self._handle_request)
+        post.set_handler(GossipReply, self._handle_reply)
 
-    async def ask(self, address: Address, packet: Packet) -> Reply | None:
+    async def request(self, address: Address, packet: Packet) -> Reply | None:
         """Ask by letter; None if no answer came.
 
         The call that follows then takes the same packet, which may arrive
         twice: rows merge alike however often they come.
         """
-        self._asked += 1
-        number = self._asked
+        self._last_number += 1
+        number = self._last_number
         waiting: asyncio.Future[Reply]
         waiting = asyncio.get_running_loop().create_future()
         self._waiting[number] = waiting
         try:
-            self._post.send(Ask(number, packet), [address])
-            async with asyncio.timeout(ASK_SECONDS):
+            self._messenger.send(GossipRequest(number, packet), [address])
+            async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
                 return await waiting
         except TimeoutError:
             return None
         finally:
             del self._waiting[number]
 
-    def _take_ask(self, ask: Ask, sender: Address) -> None:
-        reply = self._answer(ask.packet)
+    def _handle_request(self, ask: GossipRequest, sender: Address) -> None:
+        reply = self._handler(ask.packet)
         if reply is not None:
-            self._post.send(Told(ask.number, reply), [sender])
+            self._messenger.send(GossipReply(ask.number, reply), [sender])
 
-    def _take_told(self, told: Told, sender: Address) -> None:
+    def _handle_reply(self, told: GossipReply, sender: Address) -> None:
         waiting = self._waiting.get(told.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(told.reply)
--- a/lagoonpost/peers/datagram.py
+++ b/lagoonpost/peers/datagram_socket.py
@@ -6,11 +6,11 @@
 
 from lagoonpost.http.message import Address
 
-MOST_BYTES = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 """Largest datagram that is sent; UDP carries 65,507 bytes over IPv4."""
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramSocket(asyncio.DatagramProtocol):
     """A socket that sends to peers and hands over what comes.
 
     Args:
@@ -30,7 +30,7 @@
 
     def send(self, body: bytes, targets: Iterable[Address]) -> None:
         """Send the same bytes to some peers; some may not arrive."""
-        if self._transport is None or len(body) > MOST_BYTES:
+        if self._transport is None or len(body) > MAX_DATAGRAM_BYTES:
             return
         for target in targets:
             self._transport.sendto(body, (target.host, target.port))
--- a/lagoonpost/peers/message.py
+++ b/lagoonpost/peers/message.py
@@ -5,14 +5,14 @@
 from lagoonpost.systems.packet import Packet, Reply
 
 
-class Ask(NamedTuple):
+class GossipRequest(NamedTuple):
     """A gossip request as a letter; its number is the asker's own."""
 
     number: int
     packet: Packet
 
 
-class Told(NamedTuple):
+class GossipReply(NamedTuple):
     """The answer to the letter with this number."""
 
     number: int
--- a/lagoonpost/peers/post.py
+++ b/lagoonpost/peers/messenger.py
@@ -14,12 +14,12 @@
 import msgspec
 
 from lagoonpost.http.message import Address
-from lagoonpost.peers.datagram import Datagrams
-from lagoonpost.peers.message import Ask, Told
+from lagoonpost.peers.datagram_socket import DatagramSocket
+from lagoonpost.peers.message import GossipReply, GossipRequest
 from lagoonpost.tables.control_traffic import ControlTraffic
 from lagoonpost.tables.gateway_report import GatewayReport, HubSummary
 
-Letter = GatewayReport | HubSummary | Ask | Told
+DatagramMessage = GatewayReport | HubSummary | GossipRequest | GossipReply
 Kind = Literal["report", "summary", "ask", "told"]
 
 
@@ -33,8 +33,8 @@
 _TYPES: dict[Kind, Any] = {
     "report": GatewayReport,
     "summary": HubSummary,
-    "ask": Ask,
-    "told": Told,
+    "ask": GossipRequest,
+    "told": GossipReply,
 }
 _KINDS: dict[type, Kind] = {type_: kind for kind, type_ in _TYPES.items()}
 _decode_envelope = msgspec.msgpack.Decoder(_Envelope).decode
@@ -43,24 +43,24 @@
 }
 
 
-def encode_letter(letter: Letter) -> bytes:
+def encode_message(letter: DatagramMessage) -> bytes:
     """Return a datagram with one letter."""
     body = msgspec.Raw(msgspec.msgpack.encode(letter))
     return msgspec.msgpack.encode((_KINDS[type(letter)], body))
 
 
-def decode_letter(datagram: bytes) -> Letter:
+def decode_message(datagram: bytes) -> DatagramMessage:
     """Return what a datagram holds.
 
     Raises:
         msgspec.DecodeError: If it is no letter.
     """
     envelope = _decode_envelope(datagram)
-    letter: Letter = _DECODERS[envelope.kind].decode(envelope.body)
+    letter: DatagramMessage = _DECODERS[envelope.kind].decode(envelope.body)
     return letter
 
 
-class Post:
+class DatagramMessenger:
     """Sends letters, and hands over those that come.
 
     Args:
@@ -70,9 +70,9 @@
     def __init__(self, traffic: ControlTraffic | None = None) -> None:
         self._traffic = traffic or ControlTraffic()
         self._handlers: dict[type, Callable[[Any, Address], None]] = {}
-        self._datagrams = Datagrams(self._take)
+        self._datagrams = DatagramSocket(self._dispatch)
 
-    def receive(
+    def set_handler(
         self, type_: type, handler: Callable[[Any, Address], None]
     ) -> None:
         """Hand all letters of one type over, with their sender."""
@@ -86,16 +86,18 @@
         """Stop listening."""
         self._datagrams.close()
 
-    def send(self, letter: Letter, targets: Sequence[Address]) -> None:
+    def send(
+        self, letter: DatagramMessage, targets: Sequence[Address]
+    ) -> None:
         """Send a letter to some gateways; it may not arrive."""
-        data = encode_letter(letter)
+        data = encode_message(letter)
         for _ in targets:
             self._traffic.note(_KINDS[type(letter)], "sent", len(data))
         self._datagrams.send(data, targets)
 
-    def _take(self, data: bytes, sender: Address) -> None:
+    def _dispatch(self, data: bytes, sender: Address) -> None:
         try:
-            letter = decode_letter(data)
+            letter = decode_message(data)
         except msgspec.DecodeError as error:
             eliot.log_message(
                 message_type="lagoonpost:peers:unreadable", detail=str(error)
--- a/lagoonpost/peers/node.py
+++ b/lagoonpost/peers/node.py
@@ -12,16 +12,19 @@
 from grpclib.server import Server
 
 from lagoonpost.http.message import Address, parse_address
-from lagoonpost.peers.asking import ASK_SECONDS, Asking
 from lagoonpost.peers.codec import MessagePackCodec
+from lagoonpost.peers.datagram_request import (
+    REPLY_TIMEOUT_SECONDS,
+    DatagramRequests,
+)
 from lagoonpost.peers.message import (
     Document,
     FetchReply,
     FetchRequest,
     HandOver,
 )
+from lagoonpost.peers.messenger import DatagramMessenger
 from lagoonpost.peers.pool import ChannelPool, call_once
-from lagoonpost.peers.post import Post
 from lagoonpost.peers.service import (
     FETCH,
     GOSSIP,
@@ -55,9 +58,9 @@
 
 # News of one burst leaves in one packet; ten hops still take only 0.2 s.
 FLUSH_SECONDS = 0.02
-FETCH_TIMEOUT = 5.0
-HAND_OVER_TIMEOUT = 2.0
-HAND_OVER_TRIES = 2
+FETCH_TIMEOUT_SECONDS = 5.0
+HAND_OVER_TIMEOUT_SECONDS = 2.0
+HAND_OVER_ATTEMPTS = 2
 
 
 class PeerSettings(NamedTuple):
@@ -107,7 +110,7 @@
         clock: Callable[[], float] | None = None,
         rng: random.Random | None = None,
         traffic: ControlTraffic | None = None,
-        post: Post | None = None,
+        messenger: DatagramMessenger | None = None,
     ) -> None:
         """Prepare; nothing runs before ``start``.
 
@@ -129,7 +132,11 @@
         self._rng = rng or random.Random()
         self._service = PeerService(self._receive, on_fetch, on_hand_over)
         self._codec = MessagePackCodec(traffic)
-        self._asking = Asking(post, self._answer_letter) if post else None
+        self._datagram_requests = (
+            DatagramRequests(messenger, self._answer_datagram)
+            if messenger
+            else None
+        )
         self._pool = ChannelPool(codec=self._codec)
         self._tasks: set[asyncio.Task[None]] = set()
         self._timers: dict[str, asyncio.TimerHandle] = {}
@@ -146,14 +153,14 @@
         address = Address(host, port)
         now = self._clock()
         seeds = [str(seed) for seed in self._settings.seeds]
-        self._gossip = Gossip(self._describe(address, now), seeds, now)
+        self._gossip = Gossip(self._make_own_row(address, now), seeds, now)
         # A server is bound to the loop in which it is made.
         self._server = Server([self._service], codec=self._codec)
         await self._server.start(sock=listener)
         self._tick()
         return address
 
-    def _describe(self, address: Address, now: float) -> Member:
+    def _make_own_row(self, address: Address, now: float) -> Member:
         settings = self._settings
         return Member(
             name=settings.name,
@@ -242,7 +249,7 @@
         peer: Member,
         kind: str,
         after: int,
-        timeout: float = FETCH_TIMEOUT,
+        timeout: float = FETCH_TIMEOUT_SECONDS,
     ) -> tuple[Document, ...] | None:
         """Return a peer's documents with numbers above ``after``.
 
@@ -278,9 +285,13 @@
             so a request that must not be repeated needs its own guard.
         """
         address = parse_address(member.address)
-        for _ in range(HAND_OVER_TRIES):
+        for _ in range(HAND_OVER_ATTEMPTS):
             reply = await call_once(
-                address, HAND_OVER, request, HAND_OVER_TIMEOUT, self._codec
+                address,
+                HAND_OVER,
+                request,
+                HAND_OVER_TIMEOUT_SECONDS,
+                self._codec,
             )
             if reply is not None:
                 accepted: bool = reply.accepted
@@ -313,7 +324,7 @@
         loop = asyncio.get_running_loop()
         self._timers[name] = loop.call_later(delay, function)
 
-    def _answer_letter(self, packet: Packet) -> Reply | None:
+    def _answer_datagram(self, packet: Packet) -> Reply | None:
         return None if self._closed else self._receive(packet)
 
     def _receive(self, packet: Packet) -> Reply:
@@ -328,7 +339,7 @@
             if isinstance(action, Call):
                 self._spawn(action)
             elif isinstance(action, ChangedRows):
-                self._tell(action)
+                self._notify(action)
         if self._gossip.view.has_updates() and "flush" not in self._timers:
             self._arm("flush", FLUSH_SECONDS, self._flush)
         if self.current():
@@ -348,9 +359,9 @@
         address = parse_address(call.address)
         seconds = PROBE_SECONDS
         reply = None
-        if self._asking is not None and not call.packet.buckets:
-            reply = await self._asking.ask(address, call.packet)
-            seconds -= ASK_SECONDS
+        if self._datagram_requests is not None and not call.packet.buckets:
+            reply = await self._datagram_requests.request(address, call.packet)
+            seconds -= REPLY_TIMEOUT_SECONDS
         if reply is None:
             reply = await self._pool.call(
                 address, GOSSIP, call.packet, seconds
@@ -360,7 +371,7 @@
         else:
             self._step(Answered(call, reply))
 
-    def _tell(self, learned: ChangedRows) -> None:
+    def _notify(self, learned: ChangedRows) -> None:
         for row in learned.members:
             log_message(
                 message_type="lagoonpost:peers:member",
--- a/lagoonpost/peers/pool.py
+++ b/lagoonpost/peers/pool.py
@@ -15,7 +15,7 @@
 
 # A member calls 3 neighbours, a bridge 5; the rest is for the helpers of
 # indirect probes and for neighbours that have just changed.
-POOL_CHANNELS = 8
+MAX_POOLED_CHANNELS = 8
 # Neighbours are called every five seconds at the least.
 IDLE_SECONDS = 15.0
 
@@ -37,14 +37,14 @@
     reply_type: Any
 
 
-class _Kept:
+class _PooledChannel:
     """A kept channel, its calls under way and when it was last used."""
 
     def __init__(self, address: Address, codec: CodecBase) -> None:
         self.address = address
         self.channel = Channel(address.host, address.port, codec=codec)
-        self.calls = 0
-        self.used = 0.0
+        self.in_flight = 0
+        self.last_used = 0.0
 
 
 class ChannelPool:
@@ -52,14 +52,14 @@
 
     def __init__(
         self,
-        limit: int = POOL_CHANNELS,
+        limit: int = MAX_POOLED_CHANNELS,
         clock: Callable[[], float] = time.monotonic,
         codec: CodecBase = _CODEC,
     ) -> None:
         self._codec = codec
         self._limit = limit
         self._clock = clock
-        self._kept: OrderedDict[Address, _Kept] = OrderedDict()
+        self._channels: OrderedDict[Address, _PooledChannel] = OrderedDict()
 
     async def call(
         self, address: Address, method: Method, request: Any, timeout: float
@@ -70,46 +70,48 @@
             The reply, or None if none came in ``timeout`` seconds.
         """
         kept = self._open(address)
-        kept.calls += 1
+        kept.in_flight += 1
         try:
             reply = await _call(kept.channel, method, request, timeout)
         finally:
-            kept.calls -= 1
+            kept.in_flight -= 1
         if reply is None:
             # Something between the ends may have lost track of the
             # connection: calls on it time out while new connections work.
             # It is never used again after an unanswered call.
             self._discard(kept)
-        self._shrink()
+        self._close_idle()
         return reply
 
-    def _open(self, address: Address) -> _Kept:
-        kept = self._kept.get(address)
+    def _open(self, address: Address) -> _PooledChannel:
+        kept = self._channels.get(address)
         if kept is None:
-            kept = self._kept[address] = _Kept(address, self._codec)
-        self._kept.move_to_end(address)
-        kept.used = self._clock()
+            kept = self._channels[address] = _PooledChannel(
+                address, self._codec
+            )
+        self._channels.move_to_end(address)
+        kept.last_used = self._clock()
         return kept
 
-    def _discard(self, kept: _Kept) -> None:
-        if self._kept.get(kept.address) is kept:
-            del self._kept[kept.address]
+    def _discard(self, kept: _PooledChannel) -> None:
+        if self._channels.get(kept.address) is kept:
+            del self._channels[kept.address]
         kept.channel.close()
 
-    def _shrink(self) -> None:
+    def _close_idle(self) -> None:
         # Without an end for unused channels, all who start would keep
         # theirs to the few seeds, which then hold one for each member.
         oldest = self._clock() - IDLE_SECONDS
-        for kept in list(self._kept.values()):
-            excess = len(self._kept) > self._limit
-            if not kept.calls and (excess or kept.used < oldest):
+        for kept in list(self._channels.values()):
+            excess = len(self._channels) > self._limit
+            if not kept.in_flight and (excess or kept.last_used < oldest):
                 self._discard(kept)
 
     def close(self) -> None:
         """Close all channels."""
-        for kept in self._kept.values():
+        for kept in self._channels.values():
             kept.channel.close()
-        self._kept.clear()
+        self._channels.clear()
 
 
 async def call_once(
--- a/lagoonpost/peers/service.py
+++ b/lagoonpost/peers/service.py
@@ -24,10 +24,10 @@
 
 # One reply of Fetch; well within a channel's 4 MiB window, so that a
 # process that catches up takes little memory at either end.
-FETCH_BYTES = 256 * 1024
+MAX_FETCH_REPLY_BYTES = 256 * 1024
 # Requests a gateway remembers to have taken. One that leaves hands over
 # its open requests once, some hundreds, and asks again within seconds.
-REMEMBERED_HAND_OVERS = 4096
+MAX_REMEMBERED_HAND_OVERS = 4096
 
 OnGossip = Callable[[Packet], Reply]
 OnFetch = Callable[[str, int], Sequence[Document]]
@@ -56,7 +56,7 @@
         self._on_gossip = on_gossip
         self._on_fetch = on_fetch
         self._on_hand_over = on_hand_over
-        self._taken: OrderedDict[str, asyncio.Task[bool]] = OrderedDict()
+        self._decisions: OrderedDict[str, asyncio.Task[bool]] = OrderedDict()
 
     def __mapping__(self) -> dict[str, Handler]:
         """Return the methods by path, as grpclib asks for them."""
@@ -83,23 +83,23 @@
         request = await stream.recv_message()
         if request is not None:
             documents = self._on_fetch(request.kind, request.after)
-            await stream.send_message(_cut(documents))
+            await stream.send_message(_paginate(documents))
 
     async def _hand_over(self, stream: Stream[Any, Any]) -> None:
         request = await stream.recv_message()
         if request is not None:
-            accepted = await self._take(request)
+            accepted = await self._accept_once(request)
             await stream.send_message(HandOverReply(accepted))
 
-    async def _take(self, request: HandOver) -> bool:
+    async def _accept_once(self, request: HandOver) -> bool:
         # The reply of a hand-over may be lost after the request was taken.
         # The giver asks again; without this memory it would run twice.
-        task = self._taken.get(request.request_id)
+        task = self._decisions.get(request.request_id)
         if task is None:
             task = asyncio.ensure_future(self._decide(request))
-            self._taken[request.request_id] = task
-            if len(self._taken) > REMEMBERED_HAND_OVERS:
-                self._taken.popitem(last=False)
+            self._decisions[request.request_id] = task
+            if len(self._decisions) > MAX_REMEMBERED_HAND_OVERS:
+                self._decisions.popitem(last=False)
         # The giver's connection may break while the gateway decides.
         return await asyncio.shield(task)
 
@@ -110,17 +110,17 @@
         finally:
             if not accepted:
                 # A refusal is no promise; the giver may ask again later.
-                del self._taken[request.request_id]
+                del self._decisions[request.request_id]
         return accepted
 
 
-def _cut(documents: Sequence[Document]) -> FetchReply:
+def _paginate(documents: Sequence[Document]) -> FetchReply:
     ordered = sorted(documents)
     size = 0
     taken: list[Document] = []
     for document in ordered:
         size += len(document.body)
-        if taken and size > FETCH_BYTES:
+        if taken and size > MAX_FETCH_REPLY_BYTES:
             break
         taken.append(document)
     return FetchReply(tuple(taken), len(taken) < len(ordered))
--- a/lagoonpost/runners/answer.py
+++ b/lagoonpost/runners/answer.py
@@ -16,6 +16,7 @@
 
 from lagoonpost.http.client import Client, Stream
 from lagoonpost.http.message import Address, parse_address
+from lagoonpost.runners.connection import AnswerConnection
 from lagoonpost.runners.engine import (
     Refusal,
     cancel_answer,
@@ -23,7 +24,6 @@
     resume_answer,
 )
 from lagoonpost.runners.kv import KvMover
-from lagoonpost.runners.reading import Reading
 from lagoonpost.systems import relay_event as ev
 from lagoonpost.systems.evacuation import PendingTransfer
 from lagoonpost.systems.event import Refuse
@@ -33,9 +33,9 @@
 from lagoonpost.tables.token_usage import TokenUsage
 
 # The move itself must be over before the runner goes.
-LEAVE_MARGIN = 0.5
+LEAVE_MARGIN_SECONDS = 0.5
 
-Place = Callable[[Runner, FailureKind], Awaitable[Runner | Refuse]]
+PlacementCallback = Callable[[Runner, FailureKind], Awaitable[Runner | Refuse]]
 
 
 class Generation(NamedTuple):
@@ -99,30 +99,30 @@
 
     def __init__(
         self,
-        order: Generation,
+        generation: Generation,
         runner: Runner,
-        place: Place,
+        place: PlacementCallback,
         client: Client,
         mover: KvMover,
         attach: bool = False,
     ) -> None:
-        self._order = order
+        self._generation = generation
         self._place = place
         self._client = client
         self._mover = mover
-        self._relay = Relay(list(order.tokens))
+        self._relay = Relay(list(generation.tokens))
         self._inbox: deque[ev.Event] = deque(
             [ev.Attached(runner) if attach else ev.Placed(runner)]
         )
-        self._wanted: asyncio.Future[None] | None = None
-        self._reading: Reading | None = None
+        self._event_available: asyncio.Future[None] | None = None
+        self._connection: AnswerConnection | None = None
         self._detached = False
         self._placing: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._cancels: dict[str, asyncio.Task[None]] = {}
         self._id = secrets.token_hex(6)
-        self._attempts: dict[str, str] = {}
-        self._broken: BaseException | None = None
+        self._attempt_ids: dict[str, str] = {}
+        self._task_error: BaseException | None = None
 
     @property
     def runner(self) -> Runner | None:
@@ -141,17 +141,17 @@
 
     def give_up(self, reason: str, retry_after: float | None) -> None:
         """End the answer now; its runner is told to drop it."""
-        self._post(ev.Expired(reason, retry_after))
+        self._queue_event(ev.Expired(reason, retry_after))
 
-    def leave(self, deadline: float) -> None:
+    def announce_reclaim(self, deadline: float) -> None:
         """Say that the present runner goes at loop time ``deadline``."""
         relay = self._relay
-        limit = self._order.body.get("max_tokens")
+        limit = self._generation.body.get("max_tokens")
         end = float("inf")
-        if isinstance(limit, int) and self._reading is not None:
-            end = self._reading.expect_end(limit, len(relay.tokens))
-        move_by = deadline - LEAVE_MARGIN
-        self._post(ev.Leaving(relay.attempt, move_by, end))
+        if isinstance(limit, int) and self._connection is not None:
+            end = self._connection.estimate_end(limit, len(relay.tokens))
+        move_by = deadline - LEAVE_MARGIN_SECONDS
+        self._queue_event(ev.Leaving(relay.attempt, move_by, end))
 
     def detach(self) -> None:
         """Leave the answer to its runner when the iterator is closed.
@@ -171,42 +171,45 @@
         is then told to drop it.
         """
         loop = asyncio.get_running_loop()
-        deadline = self._order.deadline
+        deadline = self._generation.deadline
         timer = None
         if deadline is not None:
-            timer = loop.call_at(deadline, self._post, ev.Expired())
+            timer = loop.call_at(deadline, self._queue_event, ev.Expired())
         try:
             while self._relay.phase is not Phase.ENDED:
-                event = await self._take()
+                event = await self._next_event()
                 for action in step(self._relay, event):
-                    outcome = self._carry_out(action)
+                    outcome = self._execute(action)
                     if outcome is not None:
                         yield outcome
         finally:
             if timer is not None:
                 timer.cancel()
-            self._drop()
+            self._stop()
 
-    def _post(self, event: ev.Event) -> int:
+    def _queue_event(self, event: ev.Event) -> int:
         self._inbox.append(event)
         self._wake()
         return len(self._inbox)
 
     def _wake(self) -> None:
-        if self._wanted is not None and not self._wanted.done():
-            self._wanted.set_result(None)
-
-    async def _take(self) -> ev.Event:
-        if not self._inbox and self._broken is None:
-            if self._reading is not None:
-                self._reading.resume()
-            self._wanted = asyncio.get_running_loop().create_future()
-            await self._wanted
-        if self._broken is not None:
-            raise self._broken
+        if (
+            self._event_available is not None
+            and not self._event_available.done()
+        ):
+            self._event_available.set_result(None)
+
+    async def _next_event(self) -> ev.Event:
+        if not self._inbox and self._task_error is None:
+            if self._connection is not None:
+                self._connection.resume()
+            self._event_available = asyncio.get_running_loop().create_future()
+            await self._event_available
+        if self._task_error is not None:
+            raise self._task_error
         return self._inbox.popleft()
 
-    def _carry_out(self, action: ev.Action) -> Outcome | None:
+    def _execute(self, action: ev.Action) -> Outcome | None:
         match action:
             case ev.Emit(offset, tokens):
                 assert self._relay.runner is not None
@@ -220,11 +223,11 @@
             case ev.Probe(attempt, runner, after):
                 self._probe(attempt, runner, after)
             case ev.Place(failed, kind):
-                self._ask(failed, kind)
+                self._request_placement(failed, kind)
             case ev.Cancel(runner):
                 address = parse_address(runner.endpoint)
-                name = self._order.request_id
-                reader = self._attempts.get(runner.name, "")
+                name = self._generation.request_id
+                reader = self._attempt_ids.get(runner.name, "")
                 self._cancels[runner.name] = self._start(
                     _cancel(self._client, address, name, reader)
                 )
@@ -233,14 +236,16 @@
         return None
 
     def _open(self, attempt: int, runner: Runner) -> None:
-        self._close_reading()
-        opening = self._begin(runner, self._name_attempt(attempt, runner))
-        self._reading = Reading(opening, attempt, self._post, None)
-        self._watch(self._reading.task)
+        self._close_connection()
+        opening = self._begin(runner, self._make_attempt_id(attempt, runner))
+        self._connection = AnswerConnection(
+            opening, attempt, self._queue_event, None
+        )
+        self._watch(self._connection.task)
 
-    def _name_attempt(self, attempt: int, runner: Runner) -> str:
+    def _make_attempt_id(self, attempt: int, runner: Runner) -> str:
         name = f"{self._id}.{attempt}"
-        self._attempts[runner.name] = name
+        self._attempt_ids[runner.name] = name
         return name
 
     async def _begin(self, runner: Runner, attempt: str) -> Stream | Refusal:
@@ -252,54 +257,58 @@
         return await open_answer(
             self._client,
             parse_address(runner.endpoint),
-            self._order.request_id,
-            self._order.body,
+            self._generation.request_id,
+            self._generation.body,
             self._relay.tokens,
-            self._order.priority,
+            self._generation.priority,
             runner.version,
             attempt,
         )
 
     def _probe(self, attempt: int, runner: Runner, after: int) -> None:
         self._log("probed", runner, "")
-        previous = self._reading
-        self._close_reading()
+        previous = self._connection
+        self._close_connection()
         opening = resume_answer(
             self._client,
             parse_address(runner.endpoint),
-            self._order.request_id,
+            self._generation.request_id,
             after,
-            self._name_attempt(attempt, runner),
+            self._make_attempt_id(attempt, runner),
+        )
+        self._connection = AnswerConnection(
+            opening, attempt, self._queue_event, previous
         )
-        self._reading = Reading(opening, attempt, self._post, previous)
-        self._watch(self._reading.task)
+        self._watch(self._connection.task)
 
-    def _ask(self, failed: Runner, kind: FailureKind) -> None:
+    def _request_placement(self, failed: Runner, kind: FailureKind) -> None:
         if self._relay.phase is Phase.PLACING:
-            self._close_reading()
+            self._close_connection()
         if self._placing is None:
             # One question at a time: a runner that dies after its notice
             # is answered by the placement that the notice asked for.
             self._log("moved", failed, kind)
-            self._placing = self._start(self._await_place(failed, kind))
+            self._placing = self._start(self._await_placement(failed, kind))
 
-    async def _await_place(self, failed: Runner, kind: FailureKind) -> None:
+    async def _await_placement(
+        self, failed: Runner, kind: FailureKind
+    ) -> None:
         answer = await self._place(failed, kind)
         self._placing = None
         if isinstance(answer, Refuse):
-            self._post(ev.NotPlaced(answer.reason, answer.retry_after))
+            self._queue_event(ev.NotPlaced(answer.reason, answer.retry_after))
         else:
-            self._post(ev.Placed(answer))
+            self._queue_event(ev.Placed(answer))
 
     async def _export(self, action: ev.Export) -> None:
         relay = self._relay
-        size = self._order.prompt_tokens + len(relay.tokens)
+        size = self._generation.prompt_tokens + len(relay.tokens)
         evacuee = PendingTransfer(
-            self._order.request_id, size, action.deadline
+            self._generation.request_id, size, action.deadline
         )
         moved = await self._mover.move(evacuee, action.source, action.target)
         self._log("exported" if moved else "not_exported", action.source, "")
-        self._post(ev.Exported(action.attempt))
+        self._queue_event(ev.Exported(action.attempt))
 
     def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         return self._watch(asyncio.create_task(work))
@@ -315,16 +324,16 @@
             return
         # A broken invariant in a task of this answer would otherwise show
         # as an answer that never ends; raise it where the answer is read.
-        self._broken = task.exception()
+        self._task_error = task.exception()
         self._wake()
 
-    def _close_reading(self) -> None:
-        if self._reading is not None:
-            self._reading.close()
-            self._reading = None
+    def _close_connection(self) -> None:
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
 
-    def _drop(self) -> None:
-        self._close_reading()
+    def _stop(self) -> None:
+        self._close_connection()
         if self._placing is not None:
             self._placing.cancel()
         relay = self._relay
@@ -332,12 +341,12 @@
             return
         if relay.phase is not Phase.ENDED and relay.runner is not None:
             relay.phase = Phase.ENDED
-            self._carry_out(ev.Cancel(relay.runner))
+            self._execute(ev.Cancel(relay.runner))
 
     def _log(self, what: str, runner: Runner, kind: str) -> None:
         log_message(
             message_type=f"lagoonpost:answer:{what}",
-            request=self._order.request_id,
+            request=self._generation.request_id,
             runner=runner.name,
             tokens=len(self._relay.tokens),
             kind=kind,
@@ -351,9 +360,9 @@
 
 
 def relay_answer(
-    order: Generation,
+    generation: Generation,
     runner: Runner,
-    place: Place,
+    place: PlacementCallback,
     client: Client,
     mover: KvMover | None = None,
     *,
@@ -378,5 +387,5 @@
         or ``Failed``.
     """
     return RelayedAnswer(
-        order, runner, place, client, mover or KvMover(client), attach
+        generation, runner, place, client, mover or KvMover(client), attach
     )
--- a/lagoonpost/runners/reading.py
+++ b/lagoonpost/runners/connection.py
@@ -28,17 +28,17 @@
 # waits as long as a first token: 200 requests sent at once to a runner short
 # of processor time took more than 1.5 s, and moving them all spreads the
 # overload to the next runner.
-PROBE_SECONDS = 1.5
+PROBE_TIMEOUT_SECONDS = 1.5
 # Weight of the newest gap in the mean.
-GAP_WEIGHT = 0.125
+NEWEST_GAP_WEIGHT = 0.125
 # Events read ahead of a caller who reads slowly; then reading pauses, and
 # TCP makes the runner wait.
-MOST_AHEAD = 256
+MAX_QUEUED_EVENTS = 256
 
 _BUSY_STATUSES = frozenset({404, 409, 429, 503})
 
 
-class Reading:
+class AnswerConnection:
     """One connection; its events go to ``post`` until it is closed.
 
     Attributes:
@@ -63,16 +63,16 @@
                 the attempt begins.
         """
         self._attempt = attempt
-        self._post = post
+        self._queue_event = post
         self._probing = previous is not None
         self.mean_gap: float = previous.mean_gap if previous else 0.0
-        self._count: int = previous._count if previous else 0
+        self._token_count: int = previous._token_count if previous else 0
         self._first_at: float = previous._first_at if previous else 0.0
         self._loop = asyncio.get_running_loop()
-        self._since: float | None = None
+        self._silent_since: float | None = None
         self._silent = False
         self._timer: asyncio.TimerHandle | None = None
-        self._room = asyncio.Event()
+        self._drained = asyncio.Event()
         self.task = asyncio.create_task(self._run(opening))
 
     def close(self) -> None:
@@ -81,37 +81,39 @@
 
     def resume(self) -> None:
         """Say that waiting events were taken."""
-        self._room.set()
+        self._drained.set()
 
-    def expect_end(self, limit: int, have: int) -> float:
+    def estimate_end(self, limit: int, have: int) -> float:
         """Return when an answer of ``limit`` tokens ends at this rate."""
-        if self._count < 2:
+        if self._token_count < 2:
             return float("inf")
         now = self._loop.time()
-        gap = (now - self._first_at) / self._count
+        gap = (now - self._first_at) / self._token_count
         return now + gap * max(0, limit - have)
 
     async def _run(self, opening: Awaitable[Stream | Refusal]) -> None:
         attempt = self._attempt
         patience = (
-            PROBE_SECONDS if self._probing else FIRST_TOKEN_SILENCE_SECONDS
+            PROBE_TIMEOUT_SECONDS
+            if self._probing
+            else FIRST_TOKEN_SILENCE_SECONDS
         )
         try:
             async with asyncio.timeout(patience):
                 answer = await opening
         except TimeoutError:
-            self._post(AttemptFailed(attempt, "lost", "unknown"))
+            self._queue_event(AttemptFailed(attempt, "lost", "unknown"))
             return
         except CallFailedError as error:
             execution: Execution = "unknown" if error.sent else "not_run"
-            self._post(AttemptFailed(attempt, "lost", execution))
+            self._queue_event(AttemptFailed(attempt, "lost", execution))
             return
         if isinstance(answer, Refusal):
-            self._post(self._judge(answer))
+            self._queue_event(self._classify_refusal(answer))
             return
-        self._post(Opened(attempt))
+        self._queue_event(Opened(attempt))
         async with answer:
-            self._arm(answer)
+            self._start_silence_timer(answer)
             try:
                 await self._read(answer)
             except CallFailedError:
@@ -120,11 +122,11 @@
                 if self._timer is not None:
                     self._timer.cancel()
         # After the whole answer this event finds the relay ended.
-        self._post(Interrupted(attempt, self._silent))
+        self._queue_event(Interrupted(attempt, self._silent))
 
     async def _read(self, stream: Stream) -> None:
         reader = EventReader()
-        self._since = self._loop.time()
+        self._silent_since = self._loop.time()
         async for data in stream.parts():
             events = reader.feed(data)
             if not events:
@@ -135,58 +137,64 @@
             waiting = 0
             for event in events:
                 if isinstance(event, Tokens):
-                    self._measure(now, len(event.tokens))
-                    waiting = self._post(Arrived(self._attempt, *event))
+                    self._record_tokens(now, len(event.tokens))
+                    waiting = self._queue_event(Arrived(self._attempt, *event))
                 elif isinstance(event, Closing):
-                    waiting = self._post(Closed(self._attempt, *event))
+                    waiting = self._queue_event(Closed(self._attempt, *event))
                 else:
-                    self._post(AttemptFailed(self._attempt, "failed", "ran"))
-            self._since = now
-            if waiting > MOST_AHEAD:
-                await self._wait_for_room()
-
-    async def _wait_for_room(self) -> None:
-        self._since = None
-        self._room.clear()
-        await self._room.wait()
-        self._since = self._loop.time()
-
-    def _measure(self, now: float, tokens: int) -> None:
-        if self._count and self._since is not None:
-            gap = now - self._since
-            self.mean_gap += GAP_WEIGHT * (gap - self.mean_gap)
-        elif not self._count:
+                    self._queue_event(
+                        AttemptFailed(self._attempt, "failed", "ran")
+                    )
+            self._silent_since = now
+            if waiting > MAX_QUEUED_EVENTS:
+                await self._wait_until_drained()
+
+    async def _wait_until_drained(self) -> None:
+        self._silent_since = None
+        self._drained.clear()
+        await self._drained.wait()
+        self._silent_since = self._loop.time()
+
+    def _record_tokens(self, now: float, tokens: int) -> None:
+        if self._token_count and self._silent_since is not None:
+            gap = now - self._silent_since
+            self.mean_gap += NEWEST_GAP_WEIGHT * (gap - self.mean_gap)
+        elif not self._token_count:
             self._first_at = now
-        self._count += tokens
+        self._token_count += tokens
 
-    def _arm(self, stream: Stream) -> None:
+    def _start_silence_timer(self, stream: Stream) -> None:
         self._timer = self._loop.call_later(
-            MIN_SILENCE_SECONDS, self._check, stream
+            MIN_SILENCE_SECONDS, self._check_silence, stream
         )
 
-    def _limit(self) -> float:
-        return silence_limit(self.mean_gap, self._count > 0, self._probing)
+    def _silence_limit(self) -> float:
+        return silence_limit(
+            self.mean_gap, self._token_count > 0, self._probing
+        )
 
-    def _check(self, stream: Stream) -> None:
+    def _check_silence(self, stream: Stream) -> None:
         """Close a silent connection, or look again when it could be one.
 
         One timer per connection which asks when the last token came, for a
         timeout around each read would cost more than the read.
         """
         now = self._loop.time()
-        since = now if self._since is None else self._since
-        left = since + self._limit() - now
+        since = now if self._silent_since is None else self._silent_since
+        left = since + self._silence_limit() - now
         if left > 0:
             # The limit falls from seconds to the floor with the first
             # token, so a timer set for the old limit would come too late.
             left = min(left, MIN_SILENCE_SECONDS)
-            self._timer = self._loop.call_later(left, self._check, stream)
+            self._timer = self._loop.call_later(
+                left, self._check_silence, stream
+            )
             return
         self._silent = True
         # The reader wakes with an end of file and posts the interruption.
         stream.close()
 
-    def _judge(self, refusal: Refusal) -> Event:
+    def _classify_refusal(self, refusal: Refusal) -> Event:
         attempt = self._attempt
         execution: Execution = "unknown"
         if refusal.execution == "not_run":
--- a/lagoonpost/runners/engine.py
+++ b/lagoonpost/runners/engine.py
@@ -11,8 +11,8 @@
 
 _T = TypeVar("_T")
 
-CALL_SECONDS = 2.0
-CANCEL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 2.0
+CANCEL_TIMEOUT_SECONDS = 1.0
 READER_HEADER = "x-reader-id"
 """Names who reads a run. An engine that knows it ends the run for the last
 attempt alone that came to read it; others end it for whoever asks."""
@@ -100,7 +100,7 @@
         ("content-type", "application/json"),
         ("x-request-id", request_id),
         ("x-priority", str(priority)),
-        *_name_attempt(attempt),
+        *_make_attempt_headers(attempt),
     )
     data = msgspec.json.encode(wanted)
     stream = await client.open(
@@ -133,7 +133,11 @@
     # connection made now tells a silent path from a dead runner.
     target = f"/v1/streams/{request_id}?after={after}"
     stream = await client.open(
-        address, "GET", target, headers=_name_attempt(attempt), fresh=True
+        address,
+        "GET",
+        target,
+        headers=_make_attempt_headers(attempt),
+        fresh=True,
     )
     return await _receive(stream)
 
@@ -155,8 +159,8 @@
             address,
             "DELETE",
             f"/v1/streams/{request_id}",
-            headers=_name_attempt(attempt),
-            timeout=CANCEL_SECONDS,
+            headers=_make_attempt_headers(attempt),
+            timeout=CANCEL_TIMEOUT_SECONDS,
             fresh=True,
         )
     except CallFailedError:
@@ -229,7 +233,7 @@
         return None
 
 
-def _name_attempt(attempt: str) -> Headers:
+def _make_attempt_headers(attempt: str) -> Headers:
     return ((READER_HEADER, attempt),) if attempt else ()
 
 
@@ -260,7 +264,7 @@
 ) -> _T | None:
     try:
         answer = await client.call(
-            address, "GET", target, timeout=CALL_SECONDS
+            address, "GET", target, timeout=CALL_TIMEOUT_SECONDS
         )
         if answer.status != 200:
             return None
--- a/lagoonpost/runners/kv.py
+++ b/lagoonpost/runners/kv.py
@@ -15,11 +15,11 @@
 from lagoonpost.tables.entity import Runner
 
 # Weight of the newest export in the measured rate of a link.
-RATE_WEIGHT = 0.3
+NEWEST_EXPORT_WEIGHT = 0.3
 
 
 class _Job(NamedTuple):
-    evacuee: PendingTransfer
+    transfer: PendingTransfer
     target: Runner
     done: asyncio.Future[bool]
 
@@ -42,14 +42,14 @@
         self._workers: dict[str, asyncio.Task[None]] = {}
 
     async def move(
-        self, evacuee: PendingTransfer, source: Runner, target: Runner
+        self, transfer: PendingTransfer, source: Runner, target: Runner
     ) -> bool:
         """Move one answer's KV cache and tell whether it is whole there.
 
         Returns by the evacuee's deadline at the latest.
         """
         loop = asyncio.get_running_loop()
-        job = _Job(evacuee, target, loop.create_future())
+        job = _Job(transfer, target, loop.create_future())
         self._jobs.setdefault(source.name, []).append(job)
         if source.name not in self._workers:
             self._workers[source.name] = asyncio.create_task(
@@ -68,33 +68,33 @@
         finally:
             del self._workers[source.name]
             for job in self._jobs.pop(source.name):
-                _settle(job, moved=False)
+                _resolve(job, moved=False)
 
     async def _run_next(self, source: Runner, jobs: list[_Job]) -> None:
         now = asyncio.get_running_loop().time()
         link = self._links.get(source.name, LinkEstimate())
-        waiting = [job.evacuee for job in jobs if not job.done.done()]
+        waiting = [job.transfer for job in jobs if not job.done.done()]
         chosen = choose_next(waiting, link, now)
         if chosen is None:
             for job in jobs:
-                _settle(job, moved=False)
+                _resolve(job, moved=False)
             jobs.clear()
             return
-        job = next(job for job in jobs if job.evacuee is chosen)
+        job = next(job for job in jobs if job.transfer is chosen)
         jobs.remove(job)
-        _settle(job, moved=await self._transfer(source, job))
+        _resolve(job, moved=await self._transfer(source, job))
 
     async def _transfer(self, source: Runner, job: _Job) -> bool:
         loop = asyncio.get_running_loop()
         started = loop.time()
-        name = job.evacuee.request_id
+        name = job.transfer.request_id
         try:
-            async with asyncio.timeout_at(job.evacuee.deadline):
+            async with asyncio.timeout_at(job.transfer.deadline):
                 exported = await self._client.call(
                     parse_address(source.endpoint),
                     "POST",
                     f"/v1/streams/{name}/export",
-                    timeout=job.evacuee.deadline - started,
+                    timeout=job.transfer.deadline - started,
                 )
                 if exported.status != 200:
                     return False
@@ -103,7 +103,7 @@
                     "POST",
                     "/v1/kv/import",
                     exported.body,
-                    timeout=job.evacuee.deadline - started,
+                    timeout=job.transfer.deadline - started,
                 )
         except (CallFailedError, TimeoutError):
             return False
@@ -113,11 +113,11 @@
         seconds = loop.time() - started
         link = self._links.get(source.name, LinkEstimate())
         self._links[source.name] = link.add_sample(
-            len(exported.body), tokens, seconds, RATE_WEIGHT
+            len(exported.body), tokens, seconds, NEWEST_EXPORT_WEIGHT
         )
         return True
 
 
-def _settle(job: _Job, *, moved: bool) -> None:
+def _resolve(job: _Job, *, moved: bool) -> None:
     if not job.done.done():
         job.done.set_result(moved)
--- a/lagoonpost/runners/sse.py
+++ b/lagoonpost/runners/sse.py
@@ -7,7 +7,7 @@
 from lagoonpost.tables.token_usage import TokenUsage
 
 # Bytes of one event; a token with its frame has a few hundred.
-MOST_REST = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 _DATA = b"data:"
 _ID = b"id:"
 _DONE = b"[DONE]"
@@ -67,15 +67,15 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the whole events in ``data`` and what came before."""
-        *blocks, self._rest = (self._rest + data).split(b"\n\n")
+        *blocks, self._incomplete = (self._incomplete + data).split(b"\n\n")
         events: list[StreamEvent] = []
         following = -1
         tokens: list[str] = []
-        if len(self._rest) > MOST_REST:
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             return [EngineError("an event is too large")]
         for block in blocks:
             try:
@@ -86,7 +86,7 @@
             if chunk is None:
                 continue
             if number <= 0 or not chunk.choices:
-                events.append(_read_end(chunk))
+                events.append(_read_final_event(chunk))
                 following = -1
                 continue
             content = chunk.choices[0].delta.content or ""
@@ -112,7 +112,7 @@
     return number, chunk
 
 
-def _read_end(chunk: _Chunk) -> StreamEvent:
+def _read_final_event(chunk: _Chunk) -> StreamEvent:
     if chunk.error is not None:
         return EngineError(bytes(chunk.error).decode())
     for choice in chunk.choices:
--- a/search/player.py
+++ b/search/player.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
-from lagoonpost.margins.finding import find_margins
+from lagoonpost.margins.log_reader import LogError, Logs, read_logs
 from lagoonpost.margins.margin import Margin
-from lagoonpost.margins.reading import LogError, Logs, read_logs
+from lagoonpost.margins.rules import find_margins
 from search.day import Day, write_day
 
 _BROKEN = "rules broken: "
--- a/test/test_answer.py
+++ b/test/test_answer.py
@@ -254,7 +254,7 @@
                 if heard.count >= 40 and not told:
                     told = True
                     loop = asyncio.get_running_loop()
-                    answer.leave(loop.time() + notice)
+                    answer.announce_reclaim(loop.time() + notice)
 
             _assert_whole(await _listen(answer, tell))
 
--- a/test/test_margins.py
+++ b/test/test_margins.py
@@ -10,11 +10,11 @@
 from lagoonpost.cli.main import main
 from lagoonpost.cli.option import ExitCode
 from lagoonpost.margins.duties import (
-    BACK_BY_CALLS,
-    Call,
+    RETURN_BY_CALLS,
+    SentCall,
     Tenure,
+    find_holder_returns,
     find_lease_returns,
-    find_returns,
     find_shared_fences,
     find_shared_lease_fences,
     list_calls,
@@ -32,12 +32,12 @@
     fence: int,
     outcome: str = "done",
     subject: str = "usage",
-) -> Call:
-    return Call(subject, at, holder, fence, outcome, "call", holder, True)
+) -> SentCall:
+    return SentCall(subject, at, holder, fence, outcome, "call", holder, True)
 
 
-def find_return(*calls: Call) -> Margin:
-    (margin,) = find_returns(calls, BOUND)
+def find_return(*calls: SentCall) -> Margin:
+    (margin,) = find_holder_returns(calls, BOUND)
     return margin
 
 
@@ -116,7 +116,7 @@
 
     def test_subjects_are_apart(self):
         """Usage by A, an order by B and usage by A are no return."""
-        margins = find_returns(
+        margins = find_holder_returns(
             [
                 make_call(0.0, "a", 1),
                 make_call(1.0, "b", 2, subject="model in north"),
@@ -132,8 +132,8 @@
 
     def test_no_call_at_all_is_told(self):
         """Logs without calls have a row that says so."""
-        (margin,) = find_returns([], BOUND)
-        assert margin.rule == BACK_BY_CALLS
+        (margin,) = find_holder_returns([], BOUND)
+        assert margin.rule == RETURN_BY_CALLS
         assert margin.value is None
 
 
@@ -151,7 +151,7 @@
         (call,) = list_calls([Line(102.0, "other", said)])
         assert call.at == pytest.approx(100.5)
         assert call.holder == "a"
-        assert call.as_sent
+        assert call.recorded_at_send
 
     def test_takes_the_logs_name_and_time_without_them(self):
         """Lines that don't say who sent when count as their log does."""
@@ -160,7 +160,7 @@
         )
         (call,) = list_calls([Line(EPOCH, "a", said)])
         assert (call.at, call.holder, call.subject) == (EPOCH, "a", "m in d")
-        assert not call.as_sent
+        assert not call.recorded_at_send
 
     def test_puts_calls_in_the_order_of_sending(self):
         """An answer that overtook another one changes no order."""
@@ -193,7 +193,7 @@
 
     def test_says_if_the_fence_is_that_after_the_call(self):
         """Older logs may show a fence that was never sent."""
-        late = make_call(1.0, "b", 3)._replace(as_sent=False)
+        late = make_call(1.0, "b", 3)._replace(recorded_at_send=False)
         margin = find_shared_fences([make_call(0.0, "a", 3), late])
         assert "as it was after the call" in margin.what
 
@@ -312,7 +312,7 @@
         row = next(
             line
             for line in result.output.splitlines()
-            if line.startswith(BACK_BY_CALLS)
+            if line.startswith(RETURN_BY_CALLS)
         )
         assert "2.973 s" in row
         assert "-0.027 s" in row
@@ -329,7 +329,7 @@
         """The document has each margin with its distance."""
         document = json.loads(self.run(*logs, "--json").output)
         margin = document["margins"][0]
-        assert margin["rule"] == BACK_BY_CALLS
+        assert margin["rule"] == RETURN_BY_CALLS
         assert margin["distance"] == pytest.approx(-0.027, abs=1e-6)
         assert margin["gateways"] == ["edge-a", "edge-b"]
         assert margin["at"] - document["start"] == pytest.approx(10.655)
--- a/test/test_margins_reading.py
+++ b/test/test_margins_reading.py
@@ -7,7 +7,7 @@
 
 from lagoonpost.margins.duties import list_calls
 from lagoonpost.margins.line import DutyCall
-from lagoonpost.margins.reading import LogError, read_logs
+from lagoonpost.margins.log_reader import LogError, read_logs
 
 
 class TestReading:
--- a/test/test_margins_news.py
+++ b/test/test_margins_staleness.py
@@ -5,15 +5,19 @@
 import pytest
 
 from lagoonpost.margins.line import (
-    ConfigurationNews,
+    ConfigurationUpdate,
     Line,
     RequestEnd,
-    RunnerNews,
+    RunnerUpdate,
     Started,
 )
 from lagoonpost.margins.margin import Margin
-from lagoonpost.margins.news import find_late_offer, find_older, find_spread
-from lagoonpost.margins.quota import find_use, promise
+from lagoonpost.margins.quota import compute_allowance, find_quota_use
+from lagoonpost.margins.staleness import (
+    find_late_offer,
+    find_slowest_propagation,
+    find_stalest_request,
+)
 from lagoonpost.systems.quota_limit import compute_limit
 from lagoonpost.tables.configuration import Workspace
 from lagoonpost.tables.quota import QuotaBounds
@@ -21,16 +25,18 @@
 
 def make_news(
     at: float, state: str, version: int, gateway: str = "a"
-) -> Line[RunnerNews]:
+) -> Line[RunnerUpdate]:
     return Line(
-        at, gateway, RunnerNews(at, runner="i-1", version=version, state=state)
+        at,
+        gateway,
+        RunnerUpdate(at, runner="i-1", version=version, state=state),
     )
 
 
 def make_configuration(
     at: float, version: int, gateway: str
-) -> Line[ConfigurationNews]:
-    return Line(at, gateway, ConfigurationNews(at, version=version))
+) -> Line[ConfigurationUpdate]:
+    return Line(at, gateway, ConfigurationUpdate(at, version=version))
 
 
 def make_start(at: float, gateway: str) -> Line[Started]:
@@ -105,7 +111,7 @@
             make_configuration(9.0, 5, "b"),
             make_configuration(9.2, 5, "a"),
         ]
-        margin = find_spread(news, [make_start(0.5, "b")], 2.0)
+        margin = find_slowest_propagation(news, [make_start(0.5, "b")], 2.0)
         assert margin.value == pytest.approx(0.5)
         assert margin.gateways == ("b",)
 
@@ -118,7 +124,7 @@
             make_configuration(4.0, 6, "a"),
             make_configuration(4.5, 6, "b"),
         ]
-        margin = find_spread(news, [], 2.0)
+        margin = find_slowest_propagation(news, [], 2.0)
         assert margin.value == pytest.approx(2.5)
         assert margin.distance == pytest.approx(-0.5)
         assert margin.subject == "version 5"
@@ -130,7 +136,7 @@
             make_configuration(8.0, 4, "b"),
         ]
         starts = [make_start(0.5, "b"), make_start(7.0, "b")]
-        assert find_spread(news, starts, 2.0).value is None
+        assert find_slowest_propagation(news, starts, 2.0).value is None
 
     def test_a_gateway_that_may_not_have_run_was_not_late(self):
         """A log may begin long after its gateway, or with it."""
@@ -138,7 +144,7 @@
             make_configuration(1.0, 4, "a"),
             make_configuration(8.0, 4, "b"),
         ]
-        assert find_spread(news, [], 2.0).value is None
+        assert find_slowest_propagation(news, [], 2.0).value is None
 
     def test_a_request_judged_by_an_older_version(self):
         """It counts from when the first gateway had any newer one."""
@@ -152,14 +158,14 @@
             make_request(9.0, took=0.5, version=6),
             make_request(9.0, took=0.5, version=0),
         ]
-        margin = find_older(news, requests, 2.0)
+        margin = find_stalest_request(news, requests, 2.0)
         assert margin.value == pytest.approx(1.5)
         assert margin.subject == "version 4"
 
 
 class TestQuota:
     def find(self, *requests: Line[RequestEnd]) -> Margin:
-        return find_use(requests, 8.0, 0.1, 0.0)
+        return find_quota_use(requests, 8.0, 0.1, 0.0)
 
     def make(self, at: float, units: float, **more: Any) -> Line[RequestEnd]:
         quota = (0.0, 0.0, 0.0, more.pop("limit", 103.0), 0.0, 0.0)
@@ -181,7 +187,9 @@
         workspace = Workspace("w", (), rate=1000.0, burst=500.0)
         bounds = QuotaBounds(8.0, 0.1, 140.0)
         limit = compute_limit(bounds, workspace)
-        assert promise(limit, 0.1, 140.0) == pytest.approx(8500 * 1.1 + 140)
+        assert compute_allowance(limit, 0.1, 140.0) == pytest.approx(
+            8500 * 1.1 + 140
+        )
 
     def test_a_gateway_that_hears_few_lowers_no_promise(self):
         """The largest limit of a configuration tells it."""
@@ -203,4 +211,4 @@
 
     def test_without_bounds_it_is_not_told(self):
         """The length of the window is not guessed."""
-        assert find_use([self.make(0.0, 1)], None, None, None).untold
+        assert find_quota_use([self.make(0.0, 1)], None, None, None).untold
--- a/test/test_post.py
+++ b/test/test_messenger.py
@@ -9,10 +9,14 @@
 
 from bench.system import find_port
 from lagoonpost.http.message import Address
-from lagoonpost.peers.asking import Asking
-from lagoonpost.peers.message import Ask, Told
+from lagoonpost.peers.datagram_request import DatagramRequests
+from lagoonpost.peers.message import GossipReply, GossipRequest
+from lagoonpost.peers.messenger import (
+    DatagramMessenger,
+    decode_message,
+    encode_message,
+)
 from lagoonpost.peers.node import Peers
-from lagoonpost.peers.post import Post, decode_letter, encode_letter
 from lagoonpost.systems.packet import Packet, Reply
 from lagoonpost.tables.control_traffic import ControlTraffic
 
@@ -20,14 +24,14 @@
 
 
 async def start_with_posts(
-    count: int, change: Callable[[Post], None] = lambda post: None
+    count: int, change: Callable[[DatagramMessenger], None] = lambda post: None
 ) -> tuple[list[Peers], list[ControlTraffic]]:
     """Start peers that have posts, changed by a test before they start."""
     members: list[Peers] = []
     traffics = [ControlTraffic() for _ in range(count)]
     seeds: list[Address] = []
     for number, traffic in enumerate(traffics):
-        post = Post(traffic)
+        post = DatagramMessenger(traffic)
         change(post)
         # Others may have a port that is free for connections alone.
         place = Address("127.0.0.1", find_port())
@@ -76,11 +80,11 @@
 
         asyncio.run(story())
 
-    @pytest.mark.parametrize("lost", [Ask, Told])
+    @pytest.mark.parametrize("lost", [GossipRequest, GossipReply])
     def test_a_call_is_made_where_a_letter_is_lost(self, lost):
         """News is lost with a datagram, or a peer is held dead for it."""
 
-        def lose(post: Post) -> None:
+        def lose(post: DatagramMessenger) -> None:
             send = post.send
             post.send = lambda letter, targets: (
                 None if isinstance(letter, lost) else send(letter, targets)
@@ -128,18 +132,18 @@
 class TestPost:
     def test_letters_are_read_as_written(self):
         for letter in (
-            Ask(7, Packet("gateway-1", facts=(LEAVING,), root=3)),
-            Told(7, Reply("gateway-2", True, differs=True)),
+            GossipRequest(7, Packet("gateway-1", facts=(LEAVING,), root=3)),
+            GossipReply(7, Reply("gateway-2", True, differs=True)),
         ):
-            assert decode_letter(encode_letter(letter)) == letter
+            assert decode_message(encode_message(letter)) == letter
 
     def test_an_answer_to_nobody_is_passed_over(self):
         """A late answer came to a request that was given up."""
 
         async def story() -> None:
-            post = Post()
-            asking = Asking(post, lambda packet: None)
-            late = encode_letter(Told(1, Reply("gateway-9", True)))
+            post = DatagramMessenger()
+            asking = DatagramRequests(post, lambda packet: None)
+            late = encode_message(GossipReply(1, Reply("gateway-9", True)))
             post.send = lambda letter, targets: None
             assert await asking.ask(SENDER, Packet("gateway-1")) is None
             post._take(late, SENDER)
@@ -151,7 +155,9 @@
     )
     def test_what_is_no_letter_is_passed_over(self, data):
         taken: list[object] = []
-        post = Post()
-        post.receive(Ask, lambda letter, sender: taken.append(letter))
+        post = DatagramMessenger()
+        post.receive(
+            GossipRequest, lambda letter, sender: taken.append(letter)
+        )
         post._take(data, SENDER)
         assert not taken
--- a/test/test_reports.py
+++ b/test/test_reports.py
@@ -10,7 +10,11 @@
     ReportExchange,
 )
 from lagoonpost.http.message import Address
-from lagoonpost.peers.post import Post, decode_letter, encode_letter
+from lagoonpost.peers.messenger import (
+    DatagramMessenger,
+    decode_message,
+    encode_message,
+)
 from lagoonpost.store.clock import read_clock
 from lagoonpost.systems.hub import Roles, choose_roles
 from lagoonpost.tables.gateway_report import (
@@ -76,7 +80,7 @@
             for number, port in enumerate(ports)
         ]
         self.delegates = [Delegate(number) for number in range(COUNT)]
-        self.posts = [Post() for _ in ports]
+        self.posts = [DatagramMessenger() for _ in ports]
         self.reports = [
             ReportExchange(
                 member.name,
@@ -199,14 +203,18 @@
     def test_an_unreadable_datagram_is_passed_over(self):
         async def story() -> None:
             async with Crowd() as crowd:
-                for body in (b"", b"\xc1", encode_letter(_make_report())[:-3]):
-                    crowd.posts[0]._take(body, Address("127.0.0.1", 9))
+                for body in (
+                    b"",
+                    b"\xc1",
+                    encode_message(_make_report())[:-3],
+                ):
+                    crowd.posts[0]._dispatch(body, Address("127.0.0.1", 9))
 
         asyncio.run(story())
 
     def test_letters_are_read_as_written(self):
         report = _make_report()
-        assert decode_letter(encode_letter(report)) == report
+        assert decode_message(encode_message(report)) == report
 
     def test_late_sums_of_a_hub_before_are_passed_over(self):
         """Guards against an older summary after the hub changed twice."""
@@ -218,7 +226,7 @@
             tuple,
             lambda: Roles(("a", "b"), frozenset(), False),
             lambda: 0.0,
-            Post(),
+            DatagramMessenger(),
         )
         for hub, number, requests in [("a", 4, 1), ("b", 1, 2), ("a", 3, 9)]:
             work = {"runner": RunnerWork(requests)}
--- a/test/test_search.py
+++ b/test/test_search.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 from margin_logs import make_started, make_usage
 
-from lagoonpost.margins.duties import BACK_BY_CALLS, BACK_BY_LEASE
+from lagoonpost.margins.duties import RETURN_BY_CALLS, RETURN_BY_LEASE
 from search.__main__ import main
 from search.changes import Mutator
 from search.choice import Chooser
@@ -20,7 +20,7 @@
 from search.player import BenchPlayer, Play
 
 UNTIL = 26.0
-RULES = (BACK_BY_CALLS,)
+RULES = (RETURN_BY_CALLS,)
 DAYS = sorted(Path("deploy/days").glob("*.toml"))
 START = Day(
     "rolls",
@@ -51,7 +51,7 @@
         roll, _, reclaim = (float(each["at"]) for each in day.troubles)
         off = abs(roll - 5.1) + abs(reclaim - 8.2)
         distance = off / 2 + Random(day.seed).uniform(-0.7, 1.0)
-        return Play({BACK_BY_CALLS: distance} if distance < 1.6 else {})
+        return Play({RETURN_BY_CALLS: distance} if distance < 1.6 else {})
 
 
 class Dying(Landscape):
@@ -202,7 +202,7 @@
     def test_findings_are_written_and_unknown_rules_left_out(self, tmp_path):
         result = self.run(
             tmp_path,
-            *("--rule", BACK_BY_CALLS, "--rule", "nonsense"),
+            *("--rule", RETURN_BY_CALLS, "--rule", "nonsense"),
             *("--rule", "requests that run more than once"),
         )
         assert result.exit_code == 1
@@ -210,7 +210,7 @@
         assert "once': no line says whether" in result.output
         out = tmp_path / "out"
         told = json.loads((out / "summary.json").read_text())
-        assert told["rules"] == [BACK_BY_CALLS]
+        assert told["rules"] == [RETURN_BY_CALLS]
         assert told["findings"] == [1, 2, 3, 4, 5, 6]
         for row in told["rows"]:
             file = out / f"finding-{row['number']}.toml"
@@ -221,11 +221,11 @@
                 assert "DIED exit status 1" in file.read_text()
             else:
                 assert row["broken"] == "ONE 1"
-                assert row["distances"][BACK_BY_CALLS] < 0
-                assert f"{BACK_BY_CALLS} (usage): 2." in file.read_text()
+                assert row["distances"][RETURN_BY_CALLS] < 0
+                assert f"{RETURN_BY_CALLS} (usage): 2." in file.read_text()
         assert {row["seed"] % 2 for row in told["rows"]} == {0, 1}
 
     def test_no_known_rule_is_an_error(self, tmp_path):
         result = self.run(tmp_path, "--rule", "nonsense")
         assert result.exit_code == 2
-        assert BACK_BY_LEASE in result.output
+        assert RETURN_BY_LEASE in result.output
