--- a/lagoonpost/margins/__init__.py
+++ b/lagoonpost/margins/__init__.py
@@ -1,1 +1,1 @@
-"""How near the gateways came to breaking a promise, from their logs."""
+"""Measures from gateways' logs how closely they kept to their bounds."""
--- a/lagoonpost/margins/duties.py
+++ b/lagoonpost/margins/duties.py
@@ -1,4 +1,4 @@
-"""Who held the duties, and how soon a holder was back after another."""
+"""Exclusiveness of duties: lease tenures and calls of successive holders."""
 
 from collections.abc import Iterable, Iterator
 from itertools import groupby
@@ -8,7 +8,7 @@
 from lagoonpost.margins.margin import Margin
 
 _OUTCOMES_WITHOUT_EFFECT = frozenset({"fenced", "refused"})
-"""Outcomes of calls that had no effect. One that got no answer may have."""
+"""Outcomes of calls without effect. An unanswered call may have had one."""
 
 RETURN_BY_CALLS = "holder back by its calls"
 RETURN_BY_LEASE = "holder back by its lease"
@@ -17,17 +17,19 @@
 
 
 class SentCall(NamedTuple):
-    """One call of a duty.
+    """A call that performs a duty.
 
     Attributes:
-        subject: Calls on one subject must not go to and fro.
-        at: When it was sent, as far as the log says.
-        holder: Whose call it was.
-        fence: Its fencing number.
-        outcome: What came of it.
-        what: What it was for.
-        gateway: In whose log it stands.
-        as_sent: Whether time and fence are those of the sending.
+        subject: Target of the call. Calls of different holders on the same
+            subject must not alternate.
+        at: Time of sending in seconds since the epoch, or of logging if the
+            log lacks it.
+        holder: Gateway that made the call.
+        fence: Fencing token.
+        outcome: Result of the call.
+        what: Description of the call.
+        gateway: Gateway whose log contains the call.
+        recorded_at_send: Whether time and fence are those of sending.
     """
 
     subject: str
@@ -41,16 +43,16 @@
 
 
 class Tenure(NamedTuple):
-    """A time for which a gateway held a lease.
+    """A period in which a gateway held a lease.
 
     Attributes:
         lease: Name of the lease.
-        holder: The gateway.
-        fence: Fencing number.
-        since: When it took it.
-        taken: How it was free; empty if the log doesn't say.
-        until: When it no longer held it; None if no line says.
-        ended: Why; empty if the log doesn't say.
+        holder: Name of the gateway.
+        fence: Fencing token.
+        since: Start in seconds since the epoch.
+        taken: Why the lease was free; empty if not logged.
+        until: End in seconds since the epoch; None if not logged.
+        ended: Why the tenure ended; empty if not logged.
     """
 
     lease: str
@@ -63,41 +65,45 @@
 
     @property
     def seconds(self) -> float | None:
-        """How long it held it; None if no line says."""
+        """Duration in seconds; None if the end was not logged."""
         return None if self.until is None else self.until - self.since
 
 
 def list_calls(lines: Iterable[Line[DutyCall]]) -> list[SentCall]:
-    """Return all calls in the order in which they were sent."""
+    """Return all calls in order of sending."""
     return sorted(map(_read_call, lines), key=lambda call: call.at)
 
 
 def _read_call(line: Line[DutyCall]) -> SentCall:
-    said = line.message
-    before = 0.0 if said.sent_at is None else said.timestamp - said.sent_at
-    usage = said.window is not None
-    subject = f"{said.service} in {said.failure_domain}"
+    message = line.message
+    reply_seconds = (
+        0.0 if message.sent_at is None else message.timestamp - message.sent_at
+    )
+    usage = message.window is not None
+    subject = f"{message.service} in {message.failure_domain}"
     return SentCall(
         subject="usage" if usage else subject,
-        at=line.at - before,
-        holder=said.holder or line.gateway,
-        fence=said.fence,
-        outcome=said.outcome,
-        what=f"usage of window {said.window}" if usage else "order",
+        at=line.at - reply_seconds,
+        holder=message.holder or line.gateway,
+        fence=message.fence,
+        outcome=message.outcome,
+        what=f"usage of window {message.window}" if usage else "order",
         gateway=line.gateway,
-        recorded_at_send=said.sent_at is not None,
+        recorded_at_send=message.sent_at is not None,
     )
 
 
 def find_holder_returns(
     calls: Iterable[SentCall], bound: float | None
 ) -> list[Margin]:
-    """Return the soonest return of a holder, for each subject.
+    """Find the fastest return of a holder, for each subject.
+
+    A return is a call of one holder, followed by a call of another holder
+    and a further call of the first one.
 
     Args:
-        calls: Calls in the order in which they were sent.
-        bound: Seconds within which no holder may act, another one act, and
-            the first one act again.
+        calls: Calls in order of sending.
+        bound: Minimum seconds from the first to the last call of a return.
     """
     by_subject: dict[str, list[SentCall]] = {}
     for call in calls:
@@ -108,32 +114,35 @@
             _make_return_margin("", bound, "no call of a duty had an effect")
         ]
     return [
-        _find_holder_return(subject, acts, bound)
-        for subject, acts in sorted(by_subject.items())
+        _find_holder_return(subject, calls_on_subject, bound)
+        for subject, calls_on_subject in sorted(by_subject.items())
     ]
 
 
 def _find_holder_return(
-    subject: str, acts: list[SentCall], bound: float | None
+    subject: str, calls: list[SentCall], bound: float | None
 ) -> Margin:
     last: dict[str, SentCall] = {}
     latest: SentCall | None = None
-    pairs: list[tuple[SentCall, SentCall, SentCall]] = []
-    for act in acts:
-        before = last.get(act.holder)
-        if before and latest and latest.holder != act.holder:
-            pairs.append((before, latest, act))
-        latest = last[act.holder] = act
-    if not pairs:
+    returns: list[tuple[SentCall, SentCall, SentCall]] = []
+    for call in calls:
+        previous = last.get(call.holder)
+        if previous and latest and latest.holder != call.holder:
+            returns.append((previous, latest, call))
+        latest = last[call.holder] = call
+    if not returns:
         why = "no holder acted again after another had"
         return _make_return_margin(subject, bound, why)
-    before, other, act = min(pairs, key=lambda each: each[2].at - each[0].at)
+    previous, other, call = min(
+        returns, key=lambda group: group[2].at - group[0].at
+    )
     return _make_return_margin(subject, bound, "")._replace(
-        value=act.at - before.at,
-        at=act.at,
-        what=f"{act.holder} again: {_describe_call(before)}, then {other.holder}: "
-        f"{_describe_call(other)}, then {act.holder}: {_describe_call(act)}",
-        gateways=(act.gateway, other.gateway),
+        value=call.at - previous.at,
+        at=call.at,
+        what=f"{call.holder} again: {_describe_call(previous)}, "
+        f"then {other.holder}: {_describe_call(other)}, "
+        f"then {call.holder}: {_describe_call(call)}",
+        gateways=(call.gateway, other.gateway),
     )
 
 
@@ -149,10 +158,10 @@
 
 
 def find_shared_fences(calls: Iterable[SentCall]) -> Margin:
-    """Return how many fencing numbers two holders sent on one subject.
+    """Count the fencing tokens that several holders sent on one subject.
 
     Args:
-        calls: Calls in the order in which they were sent.
+        calls: Calls in order of sending.
     """
     first: dict[tuple[str, int], SentCall] = {}
     shared: dict[tuple[str, int], SentCall] = {}
@@ -175,23 +184,27 @@
 
 
 def list_tenures(lines: Iterable[Line[LeaseChange]]) -> list[Tenure]:
-    """Return who held each lease, in the order of time."""
+    """Return the tenures of all leases, in chronological order."""
     tenures: list[Tenure] = []
-    held: dict[tuple[str, str], int] = {}
+    open_tenures: dict[tuple[str, str], int] = {}
     for line in lines:
-        said = line.message
-        key = said.lease, said.holder
-        if said.held:
-            held[key] = len(tenures)
+        message = line.message
+        key = message.lease, message.holder
+        if message.held:
+            open_tenures[key] = len(tenures)
             tenures.append(
                 Tenure(
-                    said.lease, said.holder, said.fence, line.at, said.cause
+                    message.lease,
+                    message.holder,
+                    message.fence,
+                    line.at,
+                    message.cause,
                 )
             )
-        elif key in held:
-            index = held.pop(key)
+        elif key in open_tenures:
+            index = open_tenures.pop(key)
             tenures[index] = tenures[index]._replace(
-                until=line.at, ended=said.cause
+                until=line.at, ended=message.cause
             )
     return tenures
 
@@ -199,10 +212,15 @@
 def find_lease_returns(
     tenures: Iterable[Tenure], bound: float | None
 ) -> list[Margin]:
-    """Return the soonest return of a holder to each lease.
+    """Find the fastest return of a holder to each lease.
+
+    Its value is the time from the end of the holder's previous tenure to its
+    next one: the shortest possible time between calls of the two tenures,
+    whether or not the holder made any.
 
-    It is the least time that could have been between its calls, whether or
-    not it made any.
+    Args:
+        tenures: Tenures of all leases.
+        bound: Minimum seconds between the tenures.
     """
     margins = [
         _find_lease_return(lease, list(group), bound)
@@ -216,8 +234,8 @@
     tenures: Iterable[Tenure],
 ) -> Iterator[tuple[str, Iterator[Tenure]]]:
     return groupby(
-        sorted(tenures, key=lambda each: (each.lease, each.since)),
-        key=lambda each: each.lease,
+        sorted(tenures, key=lambda tenure: (tenure.lease, tenure.since)),
+        key=lambda tenure: tenure.lease,
     )
 
 
@@ -227,27 +245,29 @@
     margin = Margin(RETURN_BY_LEASE, lease, bound=bound, keeps="at least")
     last: dict[str, Tenure] = {}
     latest: Tenure | None = None
-    found: list[tuple[float, Tenure, Tenure]] = []
-    untold = 0
+    returns: list[tuple[float, Tenure, Tenure]] = []
+    unlogged = 0
     for tenure in tenures:
-        before = last.get(tenure.holder)
-        if before and latest and latest.holder != tenure.holder:
-            if before.until is None:
-                untold += 1
+        previous = last.get(tenure.holder)
+        if previous and latest and latest.holder != tenure.holder:
+            if previous.until is None:
+                unlogged += 1
             else:
-                seconds = tenure.since - before.until
-                found.append((seconds, latest, tenure))
+                seconds = tenure.since - previous.until
+                returns.append((seconds, latest, tenure))
         latest = last[tenure.holder] = tenure
-    missing = f"no line tells how {untold} tenures before ended"
-    if not found and untold:
+    missing = f"the end of {unlogged} earlier tenures is not logged"
+    if not returns and unlogged:
         return margin._replace(untold=missing)
-    if not found:
-        return margin._replace(what="no holder took it again after another")
-    seconds, other, tenure = min(found, key=lambda each: each[0])
+    if not returns:
+        return margin._replace(
+            what="no holder took the lease again after another"
+        )
+    seconds, other, tenure = min(returns, key=lambda candidate: candidate[0])
     what = f"{tenure.holder} again, with fence {tenure.fence}"
     if other.seconds is not None:
         what += f", {other.holder} held it for {other.seconds:.3f} s"
-    if untold:
+    if unlogged:
         what += f"; {missing}"
     return margin._replace(
         value=seconds,
@@ -258,7 +278,7 @@
 
 
 def find_shared_lease_fences(tenures: Iterable[Tenure]) -> Margin:
-    """Return how many fencing numbers of a lease two holders had."""
+    """Count the fencing tokens of a lease that several holders had."""
     first: dict[tuple[str, int], Tenure] = {}
     shared: dict[tuple[str, int], Tenure] = {}
     for tenure in tenures:
--- a/lagoonpost/margins/line.py
+++ b/lagoonpost/margins/line.py
@@ -1,4 +1,4 @@
-"""The log lines that margins are read from, with the fields they need."""
+"""Log messages from which margins are computed, with the fields used."""
 
 from typing import Any, Generic, NamedTuple, TypeVar
 
@@ -6,11 +6,11 @@
 
 
 class Message(msgspec.Struct, gc=False):
-    """What all lines have.
+    """Fields common to all messages.
 
     Attributes:
-        timestamp: Seconds since the epoch, by the clock of its host; 0 if
-            the line has none.
+        timestamp: Seconds since the epoch, by the host's clock; 0 if the
+            line has none.
     """
 
     timestamp: float = 0.0
@@ -20,24 +20,24 @@
     """A gateway started.
 
     Attributes:
-        settings: What it was told about itself.
+        settings: Settings with which it started.
     """
 
     settings: dict[str, Any]
 
 
 class DutyCall(Message, kw_only=True, gc=False):
-    """A call that only the holder of the duties may make.
+    """A call that only the holder of the duties' lease may make.
 
     Attributes:
-        outcome: What came of it.
-        fence: Its fencing number.
-        holder: Whose call it was; empty in logs that don't say it.
-        sent_at: When it was sent, by the clock of its host; None in logs
-            that print when its answer came, and the fence of that moment.
+        outcome: Result of the call.
+        fence: Fencing token.
+        holder: Gateway that made the call; empty in logs without it.
+        sent_at: Time of sending, by the host's clock; None in logs that
+            record only the time of the reply and the fence at that time.
         window: Window of a usage report.
         service: Service of an order.
-        failure_domain: Where an order wants runners.
+        failure_domain: Failure domain in which an order requests runners.
     """
 
     outcome: str
@@ -50,14 +50,14 @@
 
 
 class LeaseChange(Message, kw_only=True, gc=False):
-    """A gateway took a lease or no longer holds it.
+    """A gateway acquired or lost a lease.
 
     Attributes:
         lease: Name of the lease.
-        holder: The gateway.
-        held: Whether it holds the lease now.
-        fence: Fencing number.
-        cause: Why it changed; empty in logs that don't say it.
+        holder: Name of the gateway.
+        held: Whether the gateway holds the lease after the change.
+        fence: Fencing token.
+        cause: Reason of the change; empty in logs without it.
     """
 
     lease: str
@@ -68,11 +68,11 @@
 
 
 class RunnerUpdate(Message, kw_only=True, gc=False):
-    """A gateway learned of a runner.
+    """A gateway received a new state of a runner.
 
     Attributes:
         runner: Id of the runner.
-        version: Stamp of its entry; the newer is the larger.
+        version: Version of the runner's entry; increases with each update.
         state: "ready", "leaving" or "gone".
     """
 
@@ -82,10 +82,10 @@
 
 
 class ConfigurationUpdate(Message, kw_only=True, gc=False):
-    """A configuration came in force at a gateway.
+    """A gateway applied a configuration.
 
     Attributes:
-        version: Its version.
+        version: Version of the configuration.
     """
 
     version: int
@@ -95,13 +95,14 @@
     """A request ended.
 
     Attributes:
-        request: Its id.
-        version: Version of the configuration it was judged by; 0 if none.
-        steps: Offers to runners, each as RUNNER:OUTCOME:PREDICTED_SECONDS.
-        took: Seconds from its arrival to its end.
-        workspace: Whose it was.
+        request: Id of the request.
+        version: Version of the configuration used to handle the request; 0
+            if none.
+        steps: Offers to runners, formatted RUNNER:OUTCOME:PREDICTED_SECONDS.
+        took: Seconds from arrival to end.
+        workspace: Workspace that sent the request.
         units: Units taken from the quota.
-        quota: Inputs of the decision about the quota.
+        quota: Inputs of the quota decision.
     """
 
     request: str
@@ -114,10 +115,10 @@
 
 
 class Dropped(Message, kw_only=True, gc=False):
-    """Lines were dropped, as the log's reader was slow.
+    """Log lines were dropped because the consumer was too slow.
 
     Attributes:
-        lines: How many.
+        lines: Number of dropped lines.
     """
 
     lines: int
@@ -133,18 +134,18 @@
     "lagoonpost:forwarding:request": RequestEnd,
     "lagoonpost:log:dropped": Dropped,
 }
-"""Types of messages that margins are read from."""
+"""Message classes by log message type; other types are ignored."""
 
 M = TypeVar("M", bound=Message)
 
 
 class Line(NamedTuple, Generic[M]):
-    """One line of a log.
+    """A log line with its time and origin.
 
     Attributes:
         at: Seconds since the epoch.
-        gateway: Whose line it is.
-        message: What it says.
+        gateway: Name of the gateway that wrote it.
+        message: Decoded message.
     """
 
     at: float
--- a/lagoonpost/margins/log_reader.py
+++ b/lagoonpost/margins/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads gateways' logs, and says where a line can't be read."""
+"""Reads gateways' logs and reports invalid lines with their position."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -11,11 +11,11 @@
 from lagoonpost.platform.settings import Bounds
 
 _PREFIX = re.compile(rb" *(-?\d+\.\d+) (\S+) (?=\{)")
-"""What stands before each object in a log of many gateways."""
+"""Elapsed seconds and gateway name before an object of a combined log."""
 
 
 class LogError(Exception):
-    """A line can't be read; the text names file, line and reason."""
+    """A line is invalid; the message names file, line and reason."""
 
 
 class _Envelope(msgspec.Struct):
@@ -23,14 +23,14 @@
 
 
 class _RawLine(NamedTuple):
-    """A line as it stands in a file.
+    """An undecoded line.
 
     Attributes:
-        number: Its number.
-        elapsed: Seconds that stand before it; None if none do.
-        gateway: Name that stands before it; empty if none does.
-        raw: The object.
-        whole: Whether the line has an end.
+        number: Line number, from 1.
+        elapsed: Elapsed seconds in the prefix; None without a prefix.
+        gateway: Gateway name in the prefix; empty without a prefix.
+        raw: JSON object.
+        terminated: Whether the line ends with a newline.
     """
 
     number: int
@@ -41,10 +41,11 @@
 
 
 class Logs:
-    """Lines of all gateways.
+    """Decoded lines of all gateways, by message class.
 
     Attributes:
-        start: Time in seconds since the epoch that others are told from.
+        start: Earliest start of the logs, in seconds since the epoch; times
+            are displayed relative to it.
     """
 
     def __init__(self) -> None:
@@ -52,25 +53,27 @@
         self._lines: dict[type[Message], list[Line[Message]]] = {}
 
     def add(self, lines: Iterable[Line[Message]]) -> None:
-        """Add lines, in any order."""
+        """Add lines in any order."""
         for line in lines:
             self._lines.setdefault(type(line.message), []).append(line)
 
     def sort(self) -> None:
-        """Put the lines in the order of time."""
+        """Sort the lines chronologically."""
         for lines in self._lines.values():
-            lines.sort(key=lambda each: each.at)
+            lines.sort(key=lambda line: line.at)
 
     def find(self, kind: type[M]) -> list[Line[M]]:
-        """Return all lines of a kind."""
+        """Return all lines with messages of a class."""
         return cast("list[Line[M]]", self._lines.get(kind, []))
 
     def find_bound(self, name: str) -> float | None:
-        """Return a bound as gateways were told it; None if none says it."""
+        """Return a bound from the gateways' settings, or None if absent."""
         for line in reversed(self.find(Started)):
-            told = line.message.settings.get("bounds")
-            if isinstance(told, list):
-                bound = dict(zip(Bounds._fields, told, strict=False)).get(name)
+            bounds = line.message.settings.get("bounds")
+            if isinstance(bounds, list):
+                bound = dict(zip(Bounds._fields, bounds, strict=False)).get(
+                    name
+                )
                 return None if bound is None else float(bound)
         return None
 
@@ -83,10 +86,10 @@
 
 
 def read_logs(paths: Iterable[Path]) -> Logs:
-    """Read logs.
+    """Read and merge logs.
 
     Raises:
-        LogError: If a line can't be read.
+        LogError: If a line is invalid.
     """
     logs = Logs()
     starts = []
@@ -94,16 +97,16 @@
         start, lines = _read_log(path)
         starts.append(start)
         logs.add(lines)
-    logs.start = min((each for each in starts if each), default=0.0)
+    logs.start = min((start for start in starts if start), default=0.0)
     logs.sort()
     return logs
 
 
 def _read_log(path: Path) -> tuple[float, list[Line[Message]]]:
-    """Return from when a log's times are told, and its lines."""
+    """Return a log's start in seconds since the epoch, and its lines."""
     start = at = 0.0
-    own = ""
-    said: list[tuple[float, str, Message]] = []
+    log_gateway = ""
+    messages: list[tuple[float, str, Message]] = []
     with path.open("rb") as file:
         for row in _find_objects(path, file):
             message = _decode(path, row)
@@ -112,58 +115,60 @@
             stamp = message.timestamp
             if not start and stamp:
                 start = stamp - (row.elapsed or 0.0)
-            # A line without a time was written with the one before it.
+            # A line without a timestamp takes that of the previous line.
             at = stamp or at
             if row.elapsed is not None:
                 at = start + row.elapsed
             elif isinstance(message, Started):
                 name = str(message.settings.get("name", ""))
-                if own and name != own:
-                    detail = f"a line of {name} in a log of {own}"
+                if log_gateway and name != log_gateway:
+                    detail = f"a line of {name} in a log of {log_gateway}"
                     raise _make_error(path, row.number, detail)
-                own = name
-            said.append((at, row.gateway, message))
-    own = own or path.name.removesuffix(".log")
+                log_gateway = name
+            messages.append((at, row.gateway, message))
+    log_gateway = log_gateway or path.name.removesuffix(".log")
     return start, [
-        Line(at, name or own, message) for at, name, message in said
+        Line(at, name or log_gateway, message)
+        for at, name, message in messages
     ]
 
 
 def _find_objects(path: Path, file: Iterable[bytes]) -> Iterator[_RawLine]:
-    """Yield the objects of a log, which has them in one of two forms.
+    """Yield the JSON objects of a log, which has one of two formats.
 
-    A gateway's own log has one object a line and nothing else. In a log of
-    many, time and name stand before each, and other text among them.
+    A gateway's own log has one object per line and nothing else. A combined
+    log of many gateways prefixes each object with the elapsed time and the
+    gateway's name, and may contain other text in between.
     """
-    many: bool | None = None
-    other = 0
+    combined: bool | None = None
+    other_line = 0
     for number, raw in enumerate(file, 1):
         match = None if raw.startswith(b"{") else _PREFIX.match(raw)
         whole = raw.endswith(b"\n")
         if match is not None:
-            if many is False:
+            if combined is False:
                 raise _make_error(path, number, "no JSON object")
-            many = True
+            combined = True
             elapsed, gateway = float(match[1]), match[2].decode()
             rest = raw[match.end() :]
             yield _RawLine(number, elapsed, gateway, rest, whole)
-        elif many:
+        elif combined:
             continue
         elif raw.startswith(b"{"):
-            if other:
-                raise _make_error(path, other, "no JSON object")
-            many = False
+            if other_line:
+                raise _make_error(path, other_line, "no JSON object")
+            combined = False
             yield _RawLine(number, None, "", raw, whole)
-        elif many is False and (whole or raw.strip()):
+        elif combined is False and (whole or raw.strip()):
             raise _make_error(path, number, "no JSON object")
         else:
-            other = other or number
-    if many is None and other:
-        raise _make_error(path, other, "no JSON object")
+            other_line = other_line or number
+    if combined is None and other_line:
+        raise _make_error(path, other_line, "no JSON object")
 
 
 def _decode(path: Path, row: _RawLine) -> Message | None:
-    """Return what a line says; None if no margin is read from it."""
+    """Decode a line; return None if its type is not used by any margin."""
     try:
         kind = _DECODE_ENVELOPE(row.raw).message_type
         decode = _DECODE.get(kind)
@@ -172,7 +177,7 @@
         if not row.terminated and not isinstance(
             error, msgspec.ValidationError
         ):
-            # The process ended while it wrote its last line.
+            # The process died while writing its last line.
             return None
         raise _make_error(path, row.number, str(error)) from error
 
--- a/lagoonpost/margins/margin.py
+++ b/lagoonpost/margins/margin.py
@@ -1,25 +1,25 @@
-"""How far from its bound something stayed."""
+"""Distance between an observed value and its bound."""
 
 from typing import Literal, NamedTuple
 
 
 class Margin(NamedTuple):
-    """The case that came nearest to a bound.
+    """The observation closest to or furthest beyond the bound of a rule.
 
     Attributes:
-        rule: What is bounded.
-        subject: What it is about.
-        value: What was seen; None if nothing of the kind was, or if the
-            logs don't tell.
-        bound: What it must keep; None if no line says it.
+        rule: Name of the rule.
+        subject: Runner, workspace, lease or version concerned.
+        value: Observed value; None if nothing was observed or if the logs
+            lack the data.
+        bound: Bound of the value; None if the logs do not contain it.
         keeps: Whether the value must be at least or at most the bound.
-        unit: Unit of both; empty for a number.
-        sense: "at least" or "at most" if the logs tell only that of the
-            value; empty if they tell the value itself.
-        at: When, in seconds since the epoch.
-        what: The case in words.
-        gateways: Where it was.
-        untold: Why the logs don't tell it; empty if they do.
+        unit: Unit of value and bound; empty for a count or a ratio.
+        sense: "at least" or "at most" if ``value`` is only a lower or upper
+            limit of the true value; empty if it is exact.
+        at: Time of the observation in seconds since the epoch.
+        what: Description of the observation.
+        gateways: Gateways concerned.
+        untold: Why the logs do not contain the value; empty if they do.
     """
 
     rule: str
@@ -36,7 +36,7 @@
 
     @property
     def distance(self) -> float | None:
-        """How far the value is on the right side; below 0 if beyond."""
+        """Distance to the bound; negative if the bound is violated."""
         if self.value is None or self.bound is None:
             return None
         sign = 1 if self.keeps == "at least" else -1
--- a/lagoonpost/margins/quota.py
+++ b/lagoonpost/margins/quota.py
@@ -1,4 +1,4 @@
-"""How much of its promised quota a workspace used within a window."""
+"""Share of its quota that a workspace used within a window."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,9 +9,9 @@
 from lagoonpost.systems.quota_limit import TOLERANCE_SHARE
 
 _EXECUTED_OUTCOMES = frozenset({"whole", "began", "moved", "broken", "silent"})
-"""Outcomes of offers that may have run."""
+"""Outcomes of offers whose request may have run."""
 _LIMIT_INDEX = 3
-"""Where a request's line has the limit that its gateway kept to."""
+"""Index of the limit that the gateway enforced in ``RequestEnd.quota``."""
 
 QUOTA_RULE = "part of a quota used in a window"
 
@@ -28,60 +28,66 @@
     overage: float | None,
     slack: float | None,
 ) -> Margin:
-    """Return the largest part of a workspace's quota used in a window.
+    """Find the largest share of a workspace's quota used in a window.
 
-    What is promised is told from the largest limit that a gateway kept to:
-    one that hears all others keeps to the quota and a part of the
-    tolerance. Where none heard all, the quota is taken for smaller.
-    Requests count from their arrival, so that a window may have more of
-    them than their runners began within it.
+    The allowance is derived from the largest limit that any gateway
+    enforced. A gateway that receives the reports of all others enforces the
+    quota plus a part of the tolerance. If no gateway received all reports,
+    the allowance is underestimated. Requests count from their arrival, so a
+    window may contain more of them than runners started within it.
 
     Args:
-        requests: In any order.
-        window: Seconds over which use is counted.
-        overage: Part of a quota that may be used beyond it.
-        slack: Units that may be used beyond that.
+        requests: Ended requests in any order.
+        window: Seconds over which usage is counted.
+        overage: Share of the quota by which usage may exceed it.
+        slack: Units by which usage may exceed the quota and its overage.
     """
     margin = Margin(QUOTA_RULE, bound=1.0, unit="", sense="at most")
     if window is None or overage is None or slack is None:
-        return margin._replace(untold="no line says over which window")
+        return margin._replace(
+            untold="the logs do not contain the quota window"
+        )
     uses: dict[str, list[_QuotaUse]] = {}
     limits: dict[str, dict[int, float]] = {}
     for line in requests:
-        said = line.message
-        if len(said.quota) <= _LIMIT_INDEX:
+        message = line.message
+        if len(message.quota) <= _LIMIT_INDEX:
             continue
-        by_version = limits.setdefault(said.workspace, {})
+        by_version = limits.setdefault(message.workspace, {})
         limit = max(
-            by_version.get(said.version, 0.0), said.quota[_LIMIT_INDEX]
+            by_version.get(message.version, 0.0), message.quota[_LIMIT_INDEX]
         )
-        by_version[said.version] = limit
-        if said.units and _may_have_run(said):
-            use = _QuotaUse(line.at - said.took, said.units, line)
-            uses.setdefault(said.workspace, []).append(use)
-    for workspace, held in sorted(uses.items()):
-        promised = {
+        by_version[message.version] = limit
+        if message.units and _may_have_run(message):
+            use = _QuotaUse(line.at - message.took, message.units, line)
+            uses.setdefault(message.workspace, []).append(use)
+    for workspace, workspace_uses in sorted(uses.items()):
+        allowances = {
             version: compute_allowance(limit, overage, slack)
             for version, limit in limits[workspace].items()
         }
-        margin = _find_fullest(margin, workspace, held, promised, window)
+        margin = _find_fullest(
+            margin, workspace, workspace_uses, allowances, window
+        )
     if margin.value is None:
-        return margin._replace(what="no request of a workspace with a quota")
+        return margin._replace(
+            what="no request belongs to a workspace with a quota"
+        )
     return margin
 
 
-def _may_have_run(said: RequestEnd) -> bool:
-    outcomes = {step.split(":")[1] for step in said.steps if ":" in step}
+def _may_have_run(message: RequestEnd) -> bool:
+    outcomes = {step.split(":")[1] for step in message.steps if ":" in step}
     return not outcomes.isdisjoint(_EXECUTED_OUTCOMES)
 
 
 def compute_allowance(limit: float, overage: float, slack: float) -> float:
-    """Return what a workspace may use, from the limit that is kept to.
+    """Return the units that a workspace may use, from the enforced limit.
 
     Args:
-        limit: Units that a gateway which hears all others lets through.
-        overage: Part of a quota that may be used beyond it.
-        slack: Units that may be used beyond that.
+        limit: Units admitted by a gateway with the reports of all others.
+        overage: Share of the quota by which usage may exceed it.
+        slack: Units by which usage may exceed the quota and its overage.
     """
     quota = (limit - TOLERANCE_SHARE * slack) / (1 + TOLERANCE_SHARE * overage)
     return max(0.0, quota) * (1 + overage) + slack
@@ -91,15 +97,15 @@
     margin: Margin,
     workspace: str,
     uses: list[_QuotaUse],
-    promised: dict[int, float],
+    allowances: dict[int, float],
     window: float,
 ) -> Margin:
-    """Return the margin with the fullest window, if it is this workspace's.
+    """Return the margin of the workspace's fullest window if it is larger.
 
-    While a window has requests judged by several configurations, the
-    highest of their promises holds.
+    In a window with requests under several configurations, the largest of
+    their allowances applies.
     """
-    uses.sort(key=lambda each: each.at)
+    uses.sort(key=lambda use: use.at)
     versions: Counter[int] = Counter()
     total = 0.0
     first = 0
@@ -112,14 +118,14 @@
             total -= uses[first].units
             versions[uses[first].line.message.version] -= 1
             first += 1
-        most = max(promised[each] for each, n in versions.items() if n)
+        most = max(allowances[version] for version, n in versions.items() if n)
         if most > 0 and total / most > best:
             best, found = total / most, (first, last + 1)
     if found is None:
         return margin
     inside = uses[slice(*found)]
-    units = sum(each.units for each in inside)
-    gateways = sorted({each.line.gateway for each in inside})
+    units = sum(use.units for use in inside)
+    gateways = sorted({use.line.gateway for use in inside})
     return margin._replace(
         subject=workspace,
         value=best,
--- a/lagoonpost/margins/rules.py
+++ b/lagoonpost/margins/rules.py
@@ -1,4 +1,4 @@
-"""All margins of some logs, and what no log tells."""
+"""Computes the margins of all rules from logs."""
 
 from collections.abc import Callable
 
@@ -37,11 +37,11 @@
     "requests to a version that was taken back": "no line says which version "
     "a runner has",
 }
-"""What is promised and no line tells, with the reason."""
+"""Rules that cannot be checked from logs, with the reason."""
 
 
 def find_margins(logs: Logs) -> list[Margin]:
-    """Return all margins, and each that the logs don't tell."""
+    """Return the margins of all rules, including those without data."""
     margins = [margin for finder in _FINDERS for margin in finder(logs)]
     return margins + [
         Margin(rule, untold=why) for rule, why in UNLOGGED_RULES.items()
@@ -65,13 +65,13 @@
 
 def _find_staleness(logs: Logs) -> list[Margin]:
     requests = logs.find(RequestEnd)
-    news = logs.find(ConfigurationUpdate)
+    updates = logs.find(ConfigurationUpdate)
     drain = logs.find_bound("drain_seconds")
     apply = logs.find_bound("apply_seconds")
     return [
         find_late_offer(logs.find(RunnerUpdate), requests, drain),
-        find_slowest_propagation(news, logs.find(Started), apply),
-        find_stalest_request(news, requests, apply),
+        find_slowest_propagation(updates, logs.find(Started), apply),
+        find_stalest_request(updates, requests, apply),
     ]
 
 
--- a/lagoonpost/margins/staleness.py
+++ b/lagoonpost/margins/staleness.py
@@ -1,4 +1,4 @@
-"""How late gateways acted on what others already knew."""
+"""Delays with which gateways acted on updates that others already had."""
 
 from bisect import bisect_right
 from collections.abc import Iterable
@@ -15,8 +15,8 @@
 from lagoonpost.margins.margin import Margin
 
 _DELIVERED_OUTCOMES = frozenset({"whole", "began", "moved"})
-"""Outcomes of offers that surely reached their runner. Others may have been
-lost on the way, or turned away as meant for another runner."""
+"""Outcomes of offers that certainly reached their runner. Offers with other
+outcomes may have been lost, or rejected as meant for another runner."""
 
 LEAVING_RUNNER_RULE = "offer to a leaving runner"
 PROPAGATION_RULE = "configuration from the first gateway to the last"
@@ -24,12 +24,13 @@
 
 
 class UnavailablePeriod(NamedTuple):
-    """A time for which some gateway knew that a runner leaves or is gone.
+    """A period in which a runner was known to be leaving or gone.
 
     Attributes:
-        since: When the first gateway learned it.
-        until: When the first learned that it is back; None if none did.
-        gateway: The first gateway.
+        since: When the first gateway received the update.
+        until: When the first gateway received that the runner is ready
+            again; None if none did.
+        gateway: First gateway to receive the update.
     """
 
     since: float
@@ -40,42 +41,49 @@
 def list_unavailable_periods(
     lines: Iterable[Line[RunnerUpdate]],
 ) -> dict[str, list[UnavailablePeriod]]:
-    """Return when runners were leaving or gone, by their ids.
+    """Return the periods in which runners were leaving or gone, by id.
 
-    Gateways learn the same news at different times, so that only a newer
-    stamp of a runner's entry changes anything.
+    Gateways receive the same update at different times, so only an update
+    with a newer version of the runner's entry is considered.
 
     Args:
-        lines: In the order of time.
+        lines: Runner updates in chronological order.
     """
     newest: dict[str, int] = {}
-    absences: dict[str, list[UnavailablePeriod]] = {}
+    periods: dict[str, list[UnavailablePeriod]] = {}
     for line in lines:
-        said = line.message
-        if said.version <= newest.get(said.runner, -1):
+        message = line.message
+        if message.version <= newest.get(message.runner, -1):
             continue
-        newest[said.runner] = said.version
-        known = absences.setdefault(said.runner, [])
-        away = bool(known) and known[-1].until is None
-        if said.state == "ready" and away:
-            known[-1] = known[-1]._replace(until=line.at)
-        elif said.state != "ready" and not away:
-            known.append(UnavailablePeriod(line.at, None, line.gateway))
-    return absences
+        newest[message.runner] = message.version
+        runner_periods = periods.setdefault(message.runner, [])
+        unavailable = bool(runner_periods) and runner_periods[-1].until is None
+        if message.state == "ready" and unavailable:
+            runner_periods[-1] = runner_periods[-1]._replace(until=line.at)
+        elif message.state != "ready" and not unavailable:
+            runner_periods.append(
+                UnavailablePeriod(line.at, None, line.gateway)
+            )
+    return periods
 
 
 def find_late_offer(
-    news: Iterable[Line[RunnerUpdate]],
+    updates: Iterable[Line[RunnerUpdate]],
     requests: Iterable[Line[RequestEnd]],
     bound: float | None,
 ) -> Margin:
-    """Return the latest offer to a runner that was known to leave.
+    """Find the latest offer to a runner known to be leaving.
+
+    A request's line has the time of its arrival but not of its offers, so
+    the value is a lower limit of the delay. Requests that arrived before the
+    update are ignored, as they may have been offered before it.
 
-    A line tells when its request arrived and not when it was offered, so
-    that it was offered at least so late. Of requests that arrived before the
-    news nothing is told.
+    Args:
+        updates: Runner updates in chronological order.
+        requests: Ended requests in any order.
+        bound: Maximum delay in seconds.
     """
-    absences = list_unavailable_periods(news)
+    periods = list_unavailable_periods(updates)
     margin = Margin(LEAVING_RUNNER_RULE, bound=bound, sense="at least")
     for line in requests:
         arrived = line.at - line.message.took
@@ -83,128 +91,134 @@
             runner, _, rest = step.partition(":")
             if rest.partition(":")[0] not in _DELIVERED_OUTCOMES:
                 continue
-            absence = _find_unavailable_period(
-                absences.get(runner, []), arrived
-            )
-            if absence is None:
+            period = _find_unavailable_period(periods.get(runner, []), arrived)
+            if period is None:
                 continue
-            late = arrived - absence.since
+            late = arrived - period.since
             if _is_worse(late, margin):
                 margin = margin._replace(
                     subject=runner,
                     value=late,
                     at=arrived,
                     what=f"request {line.message.request}, after "
-                    f"{absence.gateway} knew that the runner leaves",
-                    gateways=(line.gateway, absence.gateway),
+                    f"{period.gateway} knew that the runner leaves",
+                    gateways=(line.gateway, period.gateway),
                 )
     if margin.value is None:
-        return margin._replace(what="no request that arrived after the news")
+        return margin._replace(
+            what="no request arrived after a runner started to leave"
+        )
     return margin
 
 
 def _find_unavailable_period(
-    absences: list[UnavailablePeriod], at: float
+    periods: list[UnavailablePeriod], at: float
 ) -> UnavailablePeriod | None:
-    """Return the absence in which a time lies."""
-    index = bisect_right(absences, at, key=lambda each: each.since)
+    """Return the period that contains a time, or None."""
+    index = bisect_right(periods, at, key=lambda period: period.since)
     if not index:
         return None
-    absence = absences[index - 1]
-    back = absence.until is not None and at >= absence.until
-    return None if back else absence
+    period = periods[index - 1]
+    back = period.until is not None and at >= period.until
+    return None if back else period
 
 
 def find_slowest_propagation(
-    news: Iterable[Line[ConfigurationUpdate]],
+    updates: Iterable[Line[ConfigurationUpdate]],
     starts: Iterable[Line[Started]],
     bound: float | None,
 ) -> Margin:
-    """Return the longest time from a version's first gateway to its last.
+    """Find the longest delay from a version's first gateway to its last.
 
-    Only gateways count that surely ran when the first one had it, and went
-    on until they had it. One that never had the version shows in the
-    requests that it judged.
+    Considers only gateways that certainly ran when the first gateway applied
+    the version, and kept running until they applied it. A gateway that never
+    applied it shows in ``find_stalest_request``.
 
     Args:
-        news: In the order of time.
-        starts: In the order of time.
-        bound: Seconds within which a version must be in force everywhere.
+        updates: Configuration updates in chronological order.
+        starts: Gateway starts in chronological order.
+        bound: Seconds within which all gateways must apply a version.
     """
     started: dict[str, list[float]] = {}
     for start in starts:
         started.setdefault(start.gateway, []).append(start.at)
-    held = list(news)
-    first = _find_first(held)
+    applied = list(updates)
+    first = _find_first(applied)
     versions = sorted(first)
-    done: dict[str, int] = {}
+    newest: dict[str, int] = {}
     margin = Margin(PROPAGATION_RULE, bound=bound)
-    for line in held:
+    for line in applied:
         gateway, version = line.gateway, line.message.version
-        before = done.get(gateway)
-        done[gateway] = max(version, before or 0)
-        lives = started.get(gateway, [])
+        before = newest.get(gateway)
+        newest[gateway] = max(version, before or 0)
+        starts_of_gateway = started.get(gateway, [])
         begin = bisect_right(versions, before or 0)
         for number in versions[begin : bisect_right(versions, version)]:
             since, earliest, _ = first[number]
             late = line.at - since
             if gateway == earliest or not _is_worse(late, margin):
                 continue
-            if before is None and not (lives and lives[0] <= since):
+            if before is None and not (
+                starts_of_gateway and starts_of_gateway[0] <= since
+            ):
                 continue
-            if any(since < at <= line.at for at in lives):
+            if any(since < at <= line.at for at in starts_of_gateway):
                 continue
             margin = margin._replace(
                 subject=f"version {number}",
                 value=late,
                 at=line.at,
-                what=f"version {version} came in force",
+                what=f"version {version} was applied",
                 gateways=(gateway,),
             )
     if margin.value is None:
-        return margin._replace(what="no version that came to running gateways")
+        return margin._replace(
+            what="no version reached another running gateway"
+        )
     return margin
 
 
 def find_stalest_request(
-    news: Iterable[Line[ConfigurationUpdate]],
+    updates: Iterable[Line[ConfigurationUpdate]],
     requests: Iterable[Line[RequestEnd]],
     bound: float | None,
 ) -> Margin:
-    """Return the latest request that an older configuration judged.
+    """Find the request handled by the most outdated configuration.
 
-    Its lateness is its arrival's, from the time at which the first gateway
-    had any newer version. Whether the newer one had judged otherwise, no
-    line tells.
+    The value is the time from when the first gateway applied any newer
+    version to the request's arrival. Whether the newer version would have
+    led to another decision is not logged.
 
     Args:
-        news: In the order of time.
-        requests: In any order.
-        bound: Seconds within which a version must be in force everywhere.
+        updates: Configuration updates in chronological order.
+        requests: Ended requests in any order.
+        bound: Seconds within which all gateways must apply a version.
     """
-    first = _find_first(news)
+    first = _find_first(updates)
     versions = sorted(first)
-    times = [first[each].at for each in versions]
-    # For each version, when any of it or a newer one was first in force.
+    times = [first[version].at for version in versions]
+    # For each version, when it or any newer version was first applied.
     since = list(accumulate(reversed(times), min))[::-1]
     margin = Margin(STALE_CONFIGURATION_RULE, bound=bound)
     for line in requests:
-        said = line.message
-        newer = bisect_right(versions, said.version)
-        if not said.version or newer == len(versions):
+        message = line.message
+        newer = bisect_right(versions, message.version)
+        if not message.version or newer == len(versions):
             continue
-        late = line.at - said.took - since[newer]
+        late = line.at - message.took - since[newer]
         if late < 0 or not _is_worse(late, margin):
             continue
         margin = margin._replace(
-            subject=f"version {said.version}",
+            subject=f"version {message.version}",
             value=late,
-            at=line.at - said.took,
-            what=f"request {said.request}",
+            at=line.at - message.took,
+            what=f"request {message.request}",
             gateways=(line.gateway,),
         )
     if margin.value is None:
-        return margin._replace(what="no request that arrived after a newer")
+        return margin._replace(
+            what="no request arrived after a newer version was applied"
+        )
     return margin
 
 
@@ -213,10 +227,10 @@
 
 
 def _find_first(
-    news: Iterable[Line[ConfigurationUpdate]],
+    updates: Iterable[Line[ConfigurationUpdate]],
 ) -> dict[int, Line[ConfigurationUpdate]]:
-    """Return where and when each version was first in force."""
+    """Return the first line of each version: where and when it applied."""
     first: dict[int, Line[ConfigurationUpdate]] = {}
-    for line in news:
+    for line in updates:
         first.setdefault(line.message.version, line)
     return first
--- a/lagoonpost/peers/__init__.py
+++ b/lagoonpost/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership and gossip between lagoonpost's own processes."""
+"""Membership, gossip and messages between lagoonpost processes."""
--- a/lagoonpost/peers/codec.py
+++ b/lagoonpost/peers/codec.py
@@ -1,4 +1,4 @@
-"""MessagePack for gRPC messages that are plain NamedTuples."""
+"""MessagePack codec for gRPC messages defined as NamedTuples."""
 
 from functools import cache
 from typing import Any
@@ -15,10 +15,10 @@
 
 
 class MessagePackCodec(CodecBase):
-    """Encodes by msgspec and checks types when it decodes.
+    """Encodes messages with msgspec and validates types when decoding.
 
     Args:
-        traffic: Counts the messages by the name of their type.
+        traffic: Counts messages and bytes by message type.
     """
 
     __content_subtype__ = "msgpack"
@@ -27,20 +27,20 @@
         self._traffic = traffic or ControlTraffic()
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the message as MessagePack."""
+        """Encode a message as MessagePack."""
         data = msgspec.msgpack.encode(message)
-        self._traffic.note(_name(message_type), "sent", len(data))
+        self._traffic.note(_name_flow(message_type), "sent", len(data))
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message of the given type.
+        """Decode a message of the given type.
 
         Raises:
-            msgspec.ValidationError: If ``data`` is not of that type.
+            msgspec.ValidationError: If ``data`` does not match the type.
         """
-        self._traffic.note(_name(message_type), "received", len(data))
+        self._traffic.note(_name_flow(message_type), "received", len(data))
         return _make_decoder(message_type).decode(data)
 
 
-def _name(message_type: Any) -> str:
+def _name_flow(message_type: Any) -> str:
     return f"peer {message_type.__name__.lower()}"
--- a/lagoonpost/peers/datagram_request.py
+++ b/lagoonpost/peers/datagram_request.py
@@ -1,4 +1,4 @@
-"""Small requests to peers by letter, and answers to theirs."""
+"""Gossip requests and replies carried in UDP datagrams."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,54 +9,61 @@
 from lagoonpost.systems.packet import Packet, Reply
 
 REPLY_TIMEOUT_SECONDS = 0.3
-"""Wait for the answer to a letter before the call is made; the way there and
-back between failure domains takes a hundredth, but a host may be slow."""
+"""Wait for a reply datagram before falling back to gRPC. A round trip between
+failure domains takes a hundredth of it, but a host may respond slowly."""
 
 
 class DatagramRequests:
-    """Requests under way.
+    """Sends gossip requests in datagrams and answers those of peers.
 
     Args:
-        post: Takes and brings the letters.
-        answer: Answers a peer's request; None if it gets no answer.
+        messenger: Sends and receives the datagrams.
+        handler: Returns the reply to a peer's request, or None to send no
+            reply.
     """
 
     def __init__(
-        self, post: DatagramMessenger, answer: Callable[[Packet], Reply | None]
+        self,
+        messenger: DatagramMessenger,
+        handler: Callable[[Packet], Reply | None],
     ) -> None:
-        self._messenger = post
-        self._handler = answer
+        self._messenger = messenger
+        self._handler = handler
         self._last_number = 0
         self._waiting: dict[int, asyncio.Future[Reply]] = {}
-        post.set_handler(GossipRequest, self._handle_request)
-        post.set_handler(GossipReply, self._handle_reply)
+        messenger.set_handler(GossipRequest, self._handle_request)
+        messenger.set_handler(GossipReply, self._handle_reply)
 
     async def request(self, address: Address, packet: Packet) -> Reply | None:
-        """Ask by letter; None if no answer came.
+        """Send a packet to a peer and wait for its reply.
 
-        The call that follows then takes the same packet, which may arrive
-        twice: rows merge alike however often they come.
+        After a timeout the caller sends the same packet over gRPC, so it may
+        arrive twice. This is safe because merging rows is idempotent.
+
+        Returns:
+            The reply, or None if none arrived within
+            ``REPLY_TIMEOUT_SECONDS``.
         """
         self._last_number += 1
         number = self._last_number
-        waiting: asyncio.Future[Reply]
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting[number] = waiting
+        future: asyncio.Future[Reply]
+        future = asyncio.get_running_loop().create_future()
+        self._waiting[number] = future
         try:
             self._messenger.send(GossipRequest(number, packet), [address])
             async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
-                return await waiting
+                return await future
         except TimeoutError:
             return None
         finally:
             del self._waiting[number]
 
-    def _handle_request(self, ask: GossipRequest, sender: Address) -> None:
-        reply = self._handler(ask.packet)
+    def _handle_request(self, request: GossipRequest, sender: Address) -> None:
+        reply = self._handler(request.packet)
         if reply is not None:
-            self._messenger.send(GossipReply(ask.number, reply), [sender])
+            self._messenger.send(GossipReply(request.number, reply), [sender])
 
-    def _handle_reply(self, told: GossipReply, sender: Address) -> None:
-        waiting = self._waiting.get(told.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(told.reply)
+    def _handle_reply(self, message: GossipReply, sender: Address) -> None:
+        future = self._waiting.get(message.number)
+        if future is not None and not future.done():
+            future.set_result(message.reply)
--- a/lagoonpost/peers/datagram_socket.py
+++ b/lagoonpost/peers/datagram_socket.py
@@ -1,4 +1,4 @@
-"""A socket for UDP datagrams."""
+"""UDP socket for messages between peers."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -7,14 +7,14 @@
 from lagoonpost.http.message import Address
 
 MAX_DATAGRAM_BYTES = 60_000
-"""Largest datagram that is sent; UDP carries 65,507 bytes over IPv4."""
+"""Largest datagram to send; UDP over IPv4 carries up to 65,507 bytes."""
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """A socket that sends to peers and hands over what comes.
+    """Sends datagrams to peers and passes received ones to a callback.
 
     Args:
-        on_datagram: Told each datagram's bytes and its sender.
+        on_datagram: Called with the bytes and the sender of each datagram.
     """
 
     def __init__(self, on_datagram: Callable[[bytes, Address], None]) -> None:
@@ -29,7 +29,11 @@
         )
 
     def send(self, body: bytes, targets: Iterable[Address]) -> None:
-        """Send the same bytes to some peers; some may not arrive."""
+        """Send the same bytes to several peers, without delivery guarantee.
+
+        Does nothing before ``start`` or if ``body`` exceeds
+        ``MAX_DATAGRAM_BYTES``.
+        """
         if self._transport is None or len(body) > MAX_DATAGRAM_BYTES:
             return
         for target in targets:
@@ -41,8 +45,8 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take one datagram."""
+        """Pass a received datagram to the callback."""
         self._on_datagram(data, Address(*addr[:2]))
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over a peer that has nobody listening: it is restarting."""
+        """Ignore errors such as a closed port: the peer may be restarting."""
--- a/lagoonpost/peers/message.py
+++ b/lagoonpost/peers/message.py
@@ -1,4 +1,4 @@
-"""Messages between peers: asking, fetching and hand-over."""
+"""Messages between peers: gossip, document fetch and request hand-over."""
 
 from typing import NamedTuple
 
@@ -6,21 +6,21 @@
 
 
 class GossipRequest(NamedTuple):
-    """A gossip request as a letter; its number is the asker's own."""
+    """A gossip request in a datagram; the sender assigns the number."""
 
     number: int
     packet: Packet
 
 
 class GossipReply(NamedTuple):
-    """The answer to the letter with this number."""
+    """The reply to the ``GossipRequest`` with the same number."""
 
     number: int
     reply: Reply
 
 
 class FetchRequest(NamedTuple):
-    """Ask for documents of a kind with numbers above ``after``."""
+    """Asks for documents of a kind with numbers above ``after``."""
 
     kind: str
     after: int
@@ -34,23 +34,23 @@
 
 
 class FetchReply(NamedTuple):
-    """Documents in the order of their numbers; ``more`` if some are left."""
+    """Documents in ascending order; ``more`` is set if others remain."""
 
     documents: tuple[Document, ...]
     more: bool
 
 
 class HandOver(NamedTuple):
-    """An accepted request that a leaving gateway gives to a peer.
+    """An accepted request that a leaving gateway transfers to a peer.
 
     Attributes:
-        request_id: Id of the request; a peer takes each id at most once.
-        workspace: Who asked.
-        service: Service asked for.
+        request_id: Id of the request; a peer accepts an id at most once.
+        workspace: Workspace that sent the request.
+        service: Requested service.
         body: Body of the request, byte for byte.
-        tokens: Tokens of the answer so far.
-        runner: Name of the runner that has the stream, or empty.
-        deadline: Seconds left until the request's deadline.
+        tokens: Tokens generated so far.
+        runner: Name of the runner that serves the stream, or empty.
+        deadline: Seconds remaining until the request's deadline.
         stream: Whether the caller wants the answer as a stream.
     """
 
@@ -65,6 +65,6 @@
 
 
 class HandOverReply(NamedTuple):
-    """Whether the peer has accepted the request."""
+    """Reports whether the peer accepted the request."""
 
     accepted: bool
--- a/lagoonpost/peers/messenger.py
+++ b/lagoonpost/peers/messenger.py
@@ -1,10 +1,11 @@
-"""Letters between gateways: small messages, each one datagram.
-
-Pattern of load: each gateway tells others some times a second what it has
-under way, and asks a neighbour whether both know the same. As calls over
-HTTP/2 either took over a millisecond of processor time at both ends; a
-datagram takes some 30 us. One that is lost is made good by the next, as
-reports carry totals, or by a call.
+"""Small messages between gateways, each in one UDP datagram.
+
+Load pattern: several times a second, each gateway reports its in-flight work
+to other gateways and compares its gossip state with a neighbour's. Over
+HTTP/2, either exchange costs more than a millisecond of CPU time at both
+ends; a datagram costs about 30 us. Losing a datagram is harmless: reports
+carry totals, so the next one replaces it, and a gossip request falls back to
+gRPC.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,7 +25,7 @@
 
 
 class _Envelope(NamedTuple):
-    """What a datagram holds: a word for the type, and the letter."""
+    """Contents of a datagram: the kind of message and its encoding."""
 
     kind: Kind
     body: msgspec.Raw
@@ -43,67 +44,72 @@
 }
 
 
-def encode_message(letter: DatagramMessage) -> bytes:
-    """Return a datagram with one letter."""
-    body = msgspec.Raw(msgspec.msgpack.encode(letter))
-    return msgspec.msgpack.encode((_KINDS[type(letter)], body))
+def encode_message(message: DatagramMessage) -> bytes:
+    """Encode a message as the body of a datagram."""
+    body = msgspec.Raw(msgspec.msgpack.encode(message))
+    return msgspec.msgpack.encode((_KINDS[type(message)], body))
 
 
 def decode_message(datagram: bytes) -> DatagramMessage:
-    """Return what a datagram holds.
+    """Decode the body of a datagram.
 
     Raises:
-        msgspec.DecodeError: If it is no letter.
+        msgspec.DecodeError: If it holds no valid message.
     """
     envelope = _decode_envelope(datagram)
-    letter: DatagramMessage = _DECODERS[envelope.kind].decode(envelope.body)
-    return letter
+    message: DatagramMessage = _DECODERS[envelope.kind].decode(envelope.body)
+    return message
 
 
 class DatagramMessenger:
-    """Sends letters, and hands over those that come.
+    """Sends messages and dispatches received ones to handlers.
 
     Args:
-        traffic: Counts the letters by kind.
+        traffic: Counts messages and bytes by kind.
     """
 
     def __init__(self, traffic: ControlTraffic | None = None) -> None:
         self._traffic = traffic or ControlTraffic()
         self._handlers: dict[type, Callable[[Any, Address], None]] = {}
-        self._datagrams = DatagramSocket(self._dispatch)
+        self._socket = DatagramSocket(self._dispatch)
 
     def set_handler(
         self, type_: type, handler: Callable[[Any, Address], None]
     ) -> None:
-        """Hand all letters of one type over, with their sender."""
+        """Register the handler of a message type.
+
+        Args:
+            type_: Type of the messages.
+            handler: Called with each message and its sender's address.
+        """
         self._handlers[type_] = handler
 
     async def start(self, address: Address) -> None:
         """Listen on ``address``."""
-        await self._datagrams.start(address)
+        await self._socket.start(address)
 
     def close(self) -> None:
         """Stop listening."""
-        self._datagrams.close()
+        self._socket.close()
 
     def send(
-        self, letter: DatagramMessage, targets: Sequence[Address]
+        self, message: DatagramMessage, targets: Sequence[Address]
     ) -> None:
-        """Send a letter to some gateways; it may not arrive."""
-        data = encode_message(letter)
+        """Send a message to gateways, without delivery guarantee."""
+        data = encode_message(message)
         for _ in targets:
-            self._traffic.note(_KINDS[type(letter)], "sent", len(data))
-        self._datagrams.send(data, targets)
+            self._traffic.note(_KINDS[type(message)], "sent", len(data))
+        self._socket.send(data, targets)
 
     def _dispatch(self, data: bytes, sender: Address) -> None:
         try:
-            letter = decode_message(data)
+            message = decode_message(data)
         except msgspec.DecodeError as error:
             eliot.log_message(
                 message_type="lagoonpost:peers:unreadable", detail=str(error)
             )
             return
-        self._traffic.note(_KINDS[type(letter)], "received", len(data))
-        handler = self._handlers.get(type(letter))
+        self._traffic.note(_KINDS[type(message)], "received", len(data))
+        handler = self._handlers.get(type(message))
         if handler is not None:
-            handler(letter, sender)
+            handler(message, sender)
--- a/lagoonpost/peers/node.py
+++ b/lagoonpost/peers/node.py
@@ -1,4 +1,4 @@
-"""Runs gossip over the network for one process of the system."""
+"""Runs the gossip protocol for one process of the system."""
 
 import asyncio
 import random
@@ -56,7 +56,7 @@
 from lagoonpost.tables.fact import Fact, FactKind
 from lagoonpost.tables.peer import Member, PeerRole
 
-# News of one burst leaves in one packet; ten hops still take only 0.2 s.
+# Batches a burst of changes into one packet; ten hops still take only 0.2 s.
 FLUSH_SECONDS = 0.02
 FETCH_TIMEOUT_SECONDS = 5.0
 HAND_OVER_TIMEOUT_SECONDS = 2.0
@@ -64,17 +64,17 @@
 
 
 class PeerSettings(NamedTuple):
-    """What a process is told about itself and its peers.
+    """Identity of a process and the addresses of its peers.
 
     Attributes:
         name: Unique name of the process.
-        role: What it runs as.
-        region: Region it runs in.
-        failure_domain: Failure domain it runs in.
-        address: Address to listen at; peers reach it there. Port 0 takes
-            a free one.
-        seeds: Addresses at which other members may be found.
-        entry: Address for callers, told to all members, or None.
+        role: Role of the process.
+        region: Region in which it runs.
+        failure_domain: Failure domain in which it runs.
+        address: Address at which it listens for peers. Port 0 selects a
+            free port.
+        seeds: Addresses used to discover other members.
+        entry: Address for callers, published to all members, or None.
     """
 
     name: str
@@ -87,10 +87,10 @@
 
 
 def make_clock() -> Callable[[], float]:
-    """Return a clock of seconds since the epoch that is never set back.
+    """Return a monotonic clock in seconds since the epoch.
 
-    It counts the time a host is suspended, which the loop's clock does
-    not, so that a thawed host finds out that it was away.
+    Unlike the event loop's clock, it includes the time for which the host
+    was suspended, so that a resumed process detects the gap.
     """
     kind = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     offset = time.time() - time.clock_gettime(kind)
@@ -98,7 +98,7 @@
 
 
 class Peers:
-    """This process among the members of the system."""
+    """This process's view of and connection to the other members."""
 
     def __init__(
         self,
@@ -112,18 +112,23 @@
         traffic: ControlTraffic | None = None,
         messenger: DatagramMessenger | None = None,
     ) -> None:
-        """Prepare; nothing runs before ``start``.
+        """Initialize without network access; call ``start`` to join.
 
         Args:
-            settings: Who this is.
-            on_facts: Told each fact that newly holds, own ones as well.
-            on_members: Told each row that changed, the own one as well.
-            on_fetch: Gives documents of a kind with numbers above one.
-            on_hand_over: Takes over a leaving peer's request, or not.
-            clock: Seconds since the epoch, never set back.
+            settings: Identity of this process and its seeds.
+            on_facts: Called with facts that became valid, including those
+                published by this process.
+            on_members: Called with changed member rows, including the row
+                of this process.
+            on_fetch: Returns documents of a kind with numbers above a
+                given one.
+            on_hand_over: Returns whether it accepts a leaving peer's
+                request.
+            clock: Monotonic clock in seconds since the epoch.
             rng: Source of random choices.
-            traffic: Counts what is sent and received.
-            post: Takes small requests to peers that have one as well.
+            traffic: Counts messages and bytes sent and received.
+            messenger: Sends gossip requests in datagrams. Without one, or
+                if the peer has none, gossip uses gRPC.
         """
         self._settings = settings
         self._on_facts = on_facts
@@ -147,14 +152,14 @@
         self._gossip: Gossip
 
     async def start(self) -> Address:
-        """Listen, look for the others, and return the own address."""
+        """Listen, start joining the other members, and return the address."""
         listener = socket.create_server(self._settings.address)
         host, port = listener.getsockname()[:2]
         address = Address(host, port)
         now = self._clock()
         seeds = [str(seed) for seed in self._settings.seeds]
         self._gossip = Gossip(self._make_own_row(address, now), seeds, now)
-        # A server is bound to the loop in which it is made.
+        # grpclib binds a server to the loop in which it is constructed.
         self._server = Server([self._service], codec=self._codec)
         await self._server.start(sock=listener)
         self._tick()
@@ -174,13 +179,13 @@
         )
 
     async def leave(self) -> None:
-        """Tell the others that this process leaves; go on answering."""
+        """Announce that this process leaves, but keep answering peers."""
         self._step(Leave())
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=PROBE_SECONDS)
 
     async def close(self) -> None:
-        """Leave, unless that was done, and stop."""
+        """Leave, unless already done, and stop."""
         if self._gossip.view.me.state != "left":
             await self.leave()
         self._closed = True
@@ -198,50 +203,55 @@
 
     @property
     def me(self) -> Member:
-        """The own row."""
+        """The member row of this process."""
         return self._gossip.view.me
 
     def members(self) -> tuple[Member, ...]:
-        """Return all members that are held to run, this one included."""
+        """Return all members considered running, including this one."""
         if self._serving is None:
             rows = self._gossip.view.members.rows.values()
             self._serving = tuple(row for row in rows if row.serving)
         return self._serving
 
     def all_members(self) -> tuple[Member, ...]:
-        """Return all known members, also those that left or are dead."""
+        """Return all known members, including those that left or are dead."""
         return tuple(self._gossip.view.members.rows.values())
 
     def facts(self, kind: FactKind) -> tuple[Fact, ...]:
-        """Return all facts of one kind that hold."""
+        """Return all valid facts of a kind."""
         return self._gossip.view.facts.of_kind(kind)
 
     def current(self) -> bool:
-        """Return whether the facts are as new as those of the others.
+        """Return whether the facts are as recent as those of the peers.
 
-        While it is False, this process has just started, or was frozen;
-        it must not serve on what it holds.
+        False after a start or a suspension of the process, until it has
+        synchronized with its peers. Meanwhile its state is stale and must
+        not be used to serve requests.
         """
         return self._gossip.current(self._clock())
 
     async def wait_current(self, timeout: float) -> bool:
-        """Wait for ``current``; return whether it came in time."""
+        """Wait until ``current``, for at most ``timeout`` seconds.
+
+        Returns:
+            Whether the facts are current.
+        """
         if not self.current():
-            # It may still be set from before a freeze.
+            # The event may still be set from before a suspension.
             self._current.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self._current.wait()
         return self.current()
 
-    # What the process does with its peers
+    # Operations
 
     def add_seeds(self, addresses: Sequence[Address]) -> None:
-        """Take more addresses at which members may be found."""
+        """Add addresses used to discover members."""
         self._gossip.add_seeds(str(address) for address in addresses)
 
     def publish(self, fact: Fact) -> None:
-        """Make a fact hold everywhere."""
+        """Publish a fact to all members."""
         self._step(Publish(fact))
 
     async def fetch(
@@ -254,13 +264,13 @@
         """Return a peer's documents with numbers above ``after``.
 
         Args:
-            peer: Whom to ask.
+            peer: Peer to fetch from.
             kind: Kind of the documents.
-            after: Number that is known here.
-            timeout: Seconds for each page of them.
+            after: Highest number already known.
+            timeout: Timeout in seconds of each page.
 
         Returns:
-            All of them in order, or None if the peer did not answer.
+            All documents in ascending order, or None if a call failed.
         """
         address = parse_address(peer.address)
         documents: list[Document] = []
@@ -277,12 +287,13 @@
             after = reply.documents[-1].number
 
     async def hand_over(self, member: Member, request: HandOver) -> bool:
-        """Give an accepted request to a peer.
+        """Transfer an accepted request to a peer.
 
         Returns:
-            True if the peer said that it took the request. False if it
-            refused or did not answer; then it may still have taken it,
-            so a request that must not be repeated needs its own guard.
+            True if the peer confirmed that it accepted the request. False
+            if it refused or did not reply. Without a reply it may still have
+            accepted, so a non-idempotent request needs its own protection
+            against running twice.
         """
         address = parse_address(member.address)
         for _ in range(HAND_OVER_ATTEMPTS):
@@ -306,11 +317,11 @@
         )
         return accepted
 
-    # Events in, actions out
+    # Protocol events and actions
 
     def _tick(self) -> None:
-        # No next tick is set before this one has ended: an error in it
-        # ends the ticks, and ``current`` turns False within seconds.
+        # The next tick is scheduled only after this one has succeeded: an
+        # error stops the ticks, and ``current`` turns False within seconds.
         self._step(Tick())
         self._arm("tick", TICK_SECONDS, self._tick)
 
@@ -348,8 +359,8 @@
 
     def _spawn(self, call: Call) -> None:
         if self._closed:
-            # A peer may still ask while the server closes; a call made
-            # for it would open a channel that nobody closes.
+            # Peers may still send requests while the server closes; a call
+            # made in response would open a channel that is never closed.
             return
         task = asyncio.create_task(self._call(call))
         self._tasks.add(task)
@@ -371,16 +382,16 @@
         else:
             self._step(Answered(call, reply))
 
-    def _notify(self, learned: ChangedRows) -> None:
-        for row in learned.members:
+    def _notify(self, changes: ChangedRows) -> None:
+        for row in changes.members:
             log_message(
                 message_type="lagoonpost:peers:member",
                 member=row.name,
                 state=row.state,
                 incarnation=row.incarnation,
             )
-        if learned.members:
+        if changes.members:
             self._serving = None
-            self._on_members(learned.members)
-        if learned.facts:
-            self._on_facts(learned.facts)
+            self._on_members(changes.members)
+        if changes.facts:
+            self._on_facts(changes.facts)
--- a/lagoonpost/peers/pool.py
+++ b/lagoonpost/peers/pool.py
@@ -1,4 +1,4 @@
-"""Connections to peers: few, reused, and closed once one goes silent."""
+"""Bounded pool of gRPC channels to peers."""
 
 import asyncio
 import time
@@ -16,7 +16,8 @@
 # A member calls 3 neighbours, a bridge 5; the rest is for the helpers of
 # indirect probes and for neighbours that have just changed.
 MAX_POOLED_CHANNELS = 8
-# Neighbours are called every five seconds at the least.
+# Neighbours are called at least every five seconds, so that a channel unused
+# for this long no longer serves a neighbour.
 IDLE_SECONDS = 15.0
 
 _CODEC = MessagePackCodec()
@@ -30,7 +31,7 @@
 
 
 class Method(NamedTuple):
-    """One gRPC method: path, and types of request and reply."""
+    """A gRPC method: its path and the types of its request and reply."""
 
     path: str
     request_type: Any
@@ -38,7 +39,7 @@
 
 
 class _PooledChannel:
-    """A kept channel, its calls under way and when it was last used."""
+    """A pooled channel, its in-flight calls and the time of its last use."""
 
     def __init__(self, address: Address, codec: CodecBase) -> None:
         self.address = address
@@ -48,7 +49,14 @@
 
 
 class ChannelPool:
-    """A bounded number of channels, least recently used closed first."""
+    """Keeps a bounded number of channels; evicts the least recently used.
+
+    Args:
+        limit: Maximum number of idle and busy channels; busy ones are not
+            evicted.
+        clock: Returns the time in seconds.
+        codec: Codec of requests and replies.
+    """
 
     def __init__(
         self,
@@ -64,53 +72,59 @@
     async def call(
         self, address: Address, method: Method, request: Any, timeout: float
     ) -> Any | None:
-        """Call a peer over a kept connection.
+        """Call a peer over a pooled channel.
+
+        Args:
+            address: Address of the peer.
+            method: Method to call.
+            request: Request message.
+            timeout: Seconds to wait for the reply.
 
         Returns:
-            The reply, or None if none came in ``timeout`` seconds.
+            The reply, or None if the call failed or timed out.
         """
-        kept = self._open(address)
-        kept.in_flight += 1
+        pooled = self._open(address)
+        pooled.in_flight += 1
         try:
-            reply = await _call(kept.channel, method, request, timeout)
+            reply = await _call(pooled.channel, method, request, timeout)
         finally:
-            kept.in_flight -= 1
+            pooled.in_flight -= 1
         if reply is None:
-            # Something between the ends may have lost track of the
-            # connection: calls on it time out while new connections work.
-            # It is never used again after an unanswered call.
-            self._discard(kept)
+            # A middlebox may have dropped the connection's state: calls on
+            # it time out while new connections work. Therefore a channel is
+            # never reused after a failed call.
+            self._discard(pooled)
         self._close_idle()
         return reply
 
     def _open(self, address: Address) -> _PooledChannel:
-        kept = self._channels.get(address)
-        if kept is None:
-            kept = self._channels[address] = _PooledChannel(
+        pooled = self._channels.get(address)
+        if pooled is None:
+            pooled = self._channels[address] = _PooledChannel(
                 address, self._codec
             )
         self._channels.move_to_end(address)
-        kept.last_used = self._clock()
-        return kept
+        pooled.last_used = self._clock()
+        return pooled
 
-    def _discard(self, kept: _PooledChannel) -> None:
-        if self._channels.get(kept.address) is kept:
-            del self._channels[kept.address]
-        kept.channel.close()
+    def _discard(self, pooled: _PooledChannel) -> None:
+        if self._channels.get(pooled.address) is pooled:
+            del self._channels[pooled.address]
+        pooled.channel.close()
 
     def _close_idle(self) -> None:
-        # Without an end for unused channels, all who start would keep
-        # theirs to the few seeds, which then hold one for each member.
+        # Every starting member connects to the few seeds. Without an idle
+        # timeout, the seeds would hold one connection per member.
         oldest = self._clock() - IDLE_SECONDS
-        for kept in list(self._channels.values()):
+        for pooled in list(self._channels.values()):
             excess = len(self._channels) > self._limit
-            if not kept.in_flight and (excess or kept.last_used < oldest):
-                self._discard(kept)
+            if not pooled.in_flight and (excess or pooled.last_used < oldest):
+                self._discard(pooled)
 
     def close(self) -> None:
         """Close all channels."""
-        for kept in self._channels.values():
-            kept.channel.close()
+        for pooled in self._channels.values():
+            pooled.channel.close()
         self._channels.clear()
 
 
@@ -121,12 +135,19 @@
     timeout: float,
     codec: CodecBase = _CODEC,
 ) -> Any | None:
-    """Call a peer over a connection of its own.
+    """Call a peer over a dedicated connection.
+
+    Used for large bodies, so that they do not delay probes.
 
-    Large bodies go this way, so that no probe waits behind one.
+    Args:
+        address: Address of the peer.
+        method: Method to call.
+        request: Request message.
+        timeout: Seconds to wait for the reply.
+        codec: Codec of the request and the reply.
 
     Returns:
-        The reply, or None if none came in ``timeout`` seconds.
+        The reply, or None if the call failed or timed out.
     """
     channel = Channel(address.host, address.port, codec=codec)
     try:
--- a/lagoonpost/peers/service.py
+++ b/lagoonpost/peers/service.py
@@ -1,4 +1,4 @@
-"""The gRPC methods that a member offers to its peers."""
+"""gRPC service that a member offers to its peers."""
 
 import asyncio
 from collections import OrderedDict
@@ -22,11 +22,11 @@
 FETCH = Method("/lagoonpost.Peer/Fetch", FetchRequest, FetchReply)
 HAND_OVER = Method("/lagoonpost.Peer/HandOver", HandOver, HandOverReply)
 
-# One reply of Fetch; well within a channel's 4 MiB window, so that a
-# process that catches up takes little memory at either end.
+# Documents of one Fetch reply; well within a channel's 4 MiB window, so that
+# a process that catches up takes little memory at either end.
 MAX_FETCH_REPLY_BYTES = 256 * 1024
-# Requests a gateway remembers to have taken. One that leaves hands over
-# its open requests once, some hundreds, and asks again within seconds.
+# Hand-over decisions kept to deduplicate retries. A leaving gateway hands
+# over its open requests once, some hundreds, and retries within seconds.
 MAX_REMEMBERED_HAND_OVERS = 4096
 
 OnGossip = Callable[[Packet], Reply]
@@ -35,17 +35,24 @@
 
 
 def refuse_fetch(kind: str, after: int) -> Sequence[Document]:
-    """Have no documents of any kind."""
+    """Return no documents, whatever their kind."""
     return ()
 
 
 async def refuse_hand_over(request: HandOver) -> bool:
-    """Take no request over, as a controller does."""
+    """Refuse every hand-over, as a controller does."""
     return False
 
 
 class PeerService:
-    """Answers peers; what it answers comes from three callables."""
+    """Answers peers' requests by calling three handlers.
+
+    Args:
+        on_gossip: Returns the reply to a gossip packet.
+        on_fetch: Returns the documents of a kind with numbers above a
+            given one.
+        on_hand_over: Returns whether it accepts a handed-over request.
+    """
 
     def __init__(
         self,
@@ -59,7 +66,7 @@
         self._decisions: OrderedDict[str, asyncio.Task[bool]] = OrderedDict()
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the methods by path, as grpclib asks for them."""
+        """Return the handlers by path; required by grpclib."""
         return {
             method.path: Handler(
                 function,
@@ -92,15 +99,16 @@
             await stream.send_message(HandOverReply(accepted))
 
     async def _accept_once(self, request: HandOver) -> bool:
-        # The reply of a hand-over may be lost after the request was taken.
-        # The giver asks again; without this memory it would run twice.
+        # The reply to a hand-over may be lost after the request was accepted.
+        # The leaving gateway then retries; without the stored decision, the
+        # request would run twice.
         task = self._decisions.get(request.request_id)
         if task is None:
             task = asyncio.ensure_future(self._decide(request))
             self._decisions[request.request_id] = task
             if len(self._decisions) > MAX_REMEMBERED_HAND_OVERS:
                 self._decisions.popitem(last=False)
-        # The giver's connection may break while the gateway decides.
+        # Losing the connection must not cancel a pending decision.
         return await asyncio.shield(task)
 
     async def _decide(self, request: HandOver) -> bool:
@@ -109,7 +117,7 @@
             accepted = await self._on_hand_over(request)
         finally:
             if not accepted:
-                # A refusal is no promise; the giver may ask again later.
+                # Refusals are not stored, so that a retry may be accepted.
                 del self._decisions[request.request_id]
         return accepted
 
@@ -117,10 +125,10 @@
 def _paginate(documents: Sequence[Document]) -> FetchReply:
     ordered = sorted(documents)
     size = 0
-    taken: list[Document] = []
+    page: list[Document] = []
     for document in ordered:
         size += len(document.body)
-        if taken and size > MAX_FETCH_REPLY_BYTES:
+        if page and size > MAX_FETCH_REPLY_BYTES:
             break
-        taken.append(document)
-    return FetchReply(tuple(taken), len(taken) < len(ordered))
+        page.append(document)
+    return FetchReply(tuple(page), len(page) < len(ordered))
--- a/lagoonpost/runners/__init__.py
+++ b/lagoonpost/runners/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of model engines and plain services."""
+"""Clients of the runners: model engines and plain HTTP services."""
--- a/lagoonpost/runners/answer.py
+++ b/lagoonpost/runners/answer.py
@@ -1,4 +1,8 @@
-"""Drives one streamed answer: the relay's actions become calls."""
+"""Streams one answer by executing the actions of its relay.
+
+The relay is a state machine without I/O; this module feeds it events from the
+runners' connections and turns its actions into calls.
+"""
 
 import asyncio
 import secrets
@@ -32,7 +36,7 @@
 from lagoonpost.tables.entity import Runner
 from lagoonpost.tables.token_usage import TokenUsage
 
-# The move itself must be over before the runner goes.
+# Time left to complete a move before the runner is reclaimed.
 LEAVE_MARGIN_SECONDS = 0.5
 
 PlacementCallback = Callable[[Runner, FailureKind], Awaitable[Runner | Refuse]]
@@ -44,9 +48,9 @@
     Attributes:
         request_id: Id of the request, also of the engine's stream.
         body: The caller's chat-completions request.
-        tokens: Tokens that the caller already has.
+        tokens: Tokens already sent to the caller.
         priority: Higher is more urgent.
-        deadline: Loop time at which the answer is given up, or None.
+        deadline: Loop time at which the answer is abandoned, or None.
         prompt_tokens: Estimated tokens of the prompt.
     """
 
@@ -59,7 +63,13 @@
 
 
 class Part(NamedTuple):
-    """Neighbouring tokens; ``offset`` tokens of the answer go before."""
+    """Consecutive tokens of an answer.
+
+    Attributes:
+        offset: Number of the answer's tokens before these.
+        tokens: The tokens.
+        runner: Name of the runner that generated them.
+    """
 
     offset: int
     tokens: list[str]
@@ -72,19 +82,25 @@
 
     @property
     def end(self) -> int:
-        """Number of the answer's tokens up to and with these."""
+        """Number of the answer's tokens up to and including these."""
         return self.offset + len(self.tokens)
 
 
 class Completed(NamedTuple):
-    """The answer is whole."""
+    """The answer is complete."""
 
     finish_reason: str
     usage: TokenUsage
 
 
 class Failed(NamedTuple):
-    """The answer was given up; come back after ``retry_after`` seconds."""
+    """The answer was abandoned.
+
+    Attributes:
+        execution: Whether the request ran.
+        reason: Reason of the failure.
+        retry_after: Seconds after which a retry may succeed, or None.
+    """
 
     execution: Execution
     reason: str
@@ -95,7 +111,16 @@
 
 
 class RelayedAnswer:
-    """One answer on its way; iterate over it once."""
+    """An answer in progress; supports a single iteration.
+
+    Args:
+        generation: Request to answer.
+        runner: Runner on which the answer starts.
+        place: Requests another runner from placement.
+        client: HTTP client.
+        mover: Moves KV caches between runners.
+        attach: Whether the runner already generates the answer.
+    """
 
     def __init__(
         self,
@@ -126,25 +151,29 @@
 
     @property
     def runner(self) -> Runner | None:
-        """Where the answer runs now."""
+        """Runner that currently generates the answer, or None."""
         return self._relay.runner
 
     @property
     def tokens(self) -> list[str]:
-        """The tokens emitted so far; not to be changed."""
+        """Tokens emitted so far; must not be modified."""
         return self._relay.tokens
 
     @property
     def reached(self) -> bool:
-        """Whether its present attempt may have reached the runner."""
+        """Whether the current attempt may have reached the runner."""
         return self._relay.reached
 
     def give_up(self, reason: str, retry_after: float | None) -> None:
-        """End the answer now; its runner is told to drop it."""
+        """Abandon the answer and cancel it at its runner."""
         self._queue_event(ev.Expired(reason, retry_after))
 
     def announce_reclaim(self, deadline: float) -> None:
-        """Say that the present runner goes at loop time ``deadline``."""
+        """Prepare to move, as the runner is reclaimed at ``deadline``.
+
+        Args:
+            deadline: Loop time at which the current runner is reclaimed.
+        """
         relay = self._relay
         limit = self._generation.body.get("max_tokens")
         end = float("inf")
@@ -154,21 +183,21 @@
         self._queue_event(ev.Leaving(relay.attempt, move_by, end))
 
     def detach(self) -> None:
-        """Leave the answer to its runner when the iterator is closed.
+        """Keep the answer running when the iterator is closed.
 
-        The caller goes on reading it by another gateway.
+        The caller continues to read it through another gateway.
         """
         self._detached = True
 
     def __aiter__(self) -> AsyncGenerator[Outcome, None]:
-        """Return the one iteration over the outcomes."""
+        """Return the only iterator over the outcomes."""
         return self.outcomes()
 
     async def outcomes(self) -> AsyncGenerator[Outcome, None]:
-        """Yield parts as they come, then how it ended.
+        """Yield parts as they arrive, then ``Completed`` or ``Failed``.
 
-        Close this iterator when the answer is no longer wanted; its runner
-        is then told to drop it.
+        Closing the iterator cancels the answer at its runner, unless
+        ``detach`` was called.
         """
         loop = asyncio.get_running_loop()
         deadline = self._generation.deadline
@@ -251,8 +280,8 @@
     async def _begin(self, runner: Runner, attempt: str) -> Stream | Refusal:
         cancel = self._cancels.get(runner.name)
         if cancel is not None:
-            # Late, it would end the next run at an engine that goes by the
-            # request alone.
+            # An engine that identifies runs only by their request would
+            # apply a late cancellation to the new run.
             await asyncio.wait([cancel])
         return await open_answer(
             self._client,
@@ -285,8 +314,9 @@
         if self._relay.phase is Phase.PLACING:
             self._close_connection()
         if self._placing is None:
-            # One question at a time: a runner that dies after its notice
-            # is answered by the placement that the notice asked for.
+            # Only one placement is requested at a time: if a runner dies
+            # after its reclaim notice, the placement requested for the
+            # notice is used.
             self._log("moved", failed, kind)
             self._placing = self._start(self._await_placement(failed, kind))
 
@@ -303,10 +333,10 @@
     async def _export(self, action: ev.Export) -> None:
         relay = self._relay
         size = self._generation.prompt_tokens + len(relay.tokens)
-        evacuee = PendingTransfer(
+        transfer = PendingTransfer(
             self._generation.request_id, size, action.deadline
         )
-        moved = await self._mover.move(evacuee, action.source, action.target)
+        moved = await self._mover.move(transfer, action.source, action.target)
         self._log("exported" if moved else "not_exported", action.source, "")
         self._queue_event(ev.Exported(action.attempt))
 
@@ -322,8 +352,8 @@
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # A broken invariant in a task of this answer would otherwise show
-        # as an answer that never ends; raise it where the answer is read.
+        # Raised by the iterator. Otherwise a failed invariant in a task of
+        # this answer would show only as an answer that never ends.
         self._task_error = task.exception()
         self._wake()
 
@@ -368,19 +398,19 @@
     *,
     attach: bool = False,
 ) -> RelayedAnswer:
-    """Stream the answer to ``order`` from ``runner``, then from others.
+    """Stream an answer from ``runner`` and, after failures, from others.
 
     Args:
-        order: What is asked.
-        runner: Where the answer starts.
-        place: Asks the placement for another runner than the one that
-            failed; for ``leaving`` it may take its time, for the answer
-            goes on meanwhile.
+        generation: Request to answer.
+        runner: Runner on which the answer starts.
+        place: Requests a runner other than the failed one from placement.
+            For ``leaving`` it may be slow, as the answer continues
+            meanwhile.
         client: HTTP client.
-        mover: Moves KV caches; one for all answers of a process, so that
-            the answers of one runner leave it in turn.
-        attach: The runner already has the answer; read it from behind the
-            tokens of ``order`` on.
+        mover: Moves KV caches. All answers of a process share one, so that
+            answers of the same runner are exported one at a time.
+        attach: Whether the runner already generates the answer; reading
+            then continues after the tokens of ``generation``.
 
     Returns:
         The answer; iterate over it for ``Part`` and, last, ``Completed``
--- a/lagoonpost/runners/connection.py
+++ b/lagoonpost/runners/connection.py
@@ -1,4 +1,9 @@
-"""Reads one connection of an answer and watches it for silence."""
+"""Reads an answer from one connection and detects silence.
+
+Load pattern: a runner may freeze, or a middlebox may silently drop a
+connection, in the middle of an answer. Without a check the caller would wait
+until the deadline. The limit follows the mean gap between tokens.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,47 +28,47 @@
     Rejected,
 )
 
-# A probe's head that takes longer comes from a frozen process: a live one
-# sends it at once, and one region takes milliseconds. A new request's head
-# waits as long as a first token: 200 requests sent at once to a runner short
-# of processor time took more than 1.5 s, and moving them all spreads the
-# overload to the next runner.
+# A runner whose response head to a probe takes longer is frozen: a live one
+# sends the head at once, and a round trip within a region takes milliseconds.
+# For a new request, the limit is that of a first token instead: the heads of
+# 200 requests sent at once to a runner short of CPU took more than 1.5 s, and
+# moving all of them spreads the overload to the next runner.
 PROBE_TIMEOUT_SECONDS = 1.5
-# Weight of the newest gap in the mean.
+# Weight of the newest gap in the moving average.
 NEWEST_GAP_WEIGHT = 0.125
-# Events read ahead of a caller who reads slowly; then reading pauses, and
-# TCP makes the runner wait.
+# Events queued for a slow caller before reading pauses, so that TCP flow
+# control slows the runner down.
 MAX_QUEUED_EVENTS = 256
 
 _BUSY_STATUSES = frozenset({404, 409, 429, 503})
 
 
 class AnswerConnection:
-    """One connection; its events go to ``post`` until it is closed.
+    """Reads one connection and queues its events until it is closed.
 
     Attributes:
-        task: Reads; ends by itself with the connection.
-        mean_gap: Mean seconds between reads that brought tokens.
+        task: Task that reads; ends with the connection.
+        mean_gap: Moving average of the seconds between reads with tokens.
     """
 
     def __init__(
         self,
         opening: Awaitable[Stream | Refusal],
         attempt: int,
-        post: Callable[[Event], int],
-        previous: "Reading | None",
+        queue_event: Callable[[Event], int],
+        previous: "AnswerConnection | None",
     ) -> None:
         """Start to read.
 
         Args:
-            opening: Gives the connection.
-            attempt: Number that its events carry.
-            post: Takes an event and returns how many now wait.
-            previous: The connection that this one probes for, or None if
-                the attempt begins.
+            opening: Opens the connection.
+            attempt: Attempt number of the events.
+            queue_event: Queues an event and returns the queue's length.
+            previous: Connection that the probe replaces, or None for the
+                first connection of an attempt.
         """
         self._attempt = attempt
-        self._queue_event = post
+        self._queue_event = queue_event
         self._probing = previous is not None
         self.mean_gap: float = previous.mean_gap if previous else 0.0
         self._token_count: int = previous._token_count if previous else 0
@@ -76,15 +81,20 @@
         self.task = asyncio.create_task(self._run(opening))
 
     def close(self) -> None:
-        """Close the connection; no more events are posted."""
+        """Close the connection; no more events are queued."""
         self.task.cancel()
 
     def resume(self) -> None:
-        """Say that waiting events were taken."""
+        """Resume reading after the queued events were processed."""
         self._drained.set()
 
     def estimate_end(self, limit: int, have: int) -> float:
-        """Return when an answer of ``limit`` tokens ends at this rate."""
+        """Return the loop time at which an answer ends at the current rate.
+
+        Args:
+            limit: Maximum number of tokens of the answer.
+            have: Number of tokens received.
+        """
         if self._token_count < 2:
             return float("inf")
         now = self._loop.time()
@@ -93,13 +103,13 @@
 
     async def _run(self, opening: Awaitable[Stream | Refusal]) -> None:
         attempt = self._attempt
-        patience = (
+        timeout = (
             PROBE_TIMEOUT_SECONDS
             if self._probing
             else FIRST_TOKEN_SILENCE_SECONDS
         )
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout):
                 answer = await opening
         except TimeoutError:
             self._queue_event(AttemptFailed(attempt, "lost", "unknown"))
@@ -121,7 +131,7 @@
             finally:
                 if self._timer is not None:
                     self._timer.cancel()
-        # After the whole answer this event finds the relay ended.
+        # Ignored by the relay if the answer is complete.
         self._queue_event(Interrupted(attempt, self._silent))
 
     async def _read(self, stream: Stream) -> None:
@@ -130,8 +140,8 @@
         async for data in stream.parts():
             events = reader.feed(data)
             if not events:
-                # Comment lines keep a connection alive but say nothing of
-                # the answer: a frozen one must not hide behind them.
+                # Comment lines (keep-alives) are not progress: they must not
+                # mask a frozen answer.
                 continue
             now = self._loop.time()
             waiting = 0
@@ -174,24 +184,24 @@
         )
 
     def _check_silence(self, stream: Stream) -> None:
-        """Close a silent connection, or look again when it could be one.
+        """Close the connection if it is silent, else reschedule the check.
 
-        One timer per connection which asks when the last token came, for a
-        timeout around each read would cost more than the read.
+        One timer per connection checks the time of the last token, because
+        a timeout around each read would cost more than the read.
         """
         now = self._loop.time()
         since = now if self._silent_since is None else self._silent_since
         left = since + self._silence_limit() - now
         if left > 0:
-            # The limit falls from seconds to the floor with the first
-            # token, so a timer set for the old limit would come too late.
+            # The limit falls from seconds to the minimum with the first
+            # token, so a timer set for the old limit would fire too late.
             left = min(left, MIN_SILENCE_SECONDS)
             self._timer = self._loop.call_later(
                 left, self._check_silence, stream
             )
             return
         self._silent = True
-        # The reader wakes with an end of file and posts the interruption.
+        # The reading task sees the end of file and queues the interruption.
         stream.close()
 
     def _classify_refusal(self, refusal: Refusal) -> Event:
@@ -200,7 +210,7 @@
         if refusal.execution == "not_run":
             execution = "not_run"
         if self._probing:
-            # It runs but has lost the answer, as after a restart.
+            # The runner is alive but has lost the answer, as after a restart.
             return AttemptFailed(attempt, "lost", "unknown")
         if 400 <= refusal.status < 500 and refusal.status not in (
             _BUSY_STATUSES
--- a/lagoonpost/runners/engine.py
+++ b/lagoonpost/runners/engine.py
@@ -1,4 +1,4 @@
-"""Client of model engines: answers, load, cache events and orders."""
+"""HTTP client of model engines: answers, load, cache events and orders."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import NamedTuple, TypeVar
@@ -14,17 +14,18 @@
 CALL_TIMEOUT_SECONDS = 2.0
 CANCEL_TIMEOUT_SECONDS = 1.0
 READER_HEADER = "x-reader-id"
-"""Names who reads a run. An engine that knows it ends the run for the last
-attempt alone that came to read it; others end it for whoever asks."""
+"""Header with the id of the attempt that reads a run. An engine that supports
+it lets only the latest reading attempt cancel the run; other engines accept a
+cancellation from any attempt."""
 
 
 class Refusal(NamedTuple):
-    """An engine answered a request by something else than a stream.
+    """A response of an engine that is not a stream.
 
     Attributes:
         status: HTTP status.
-        execution: ``not_run`` if the engine says so, else ``unknown``.
-        detail: The engine's own words, for the log.
+        execution: ``not_run`` if the engine reports it, else ``unknown``.
+        detail: The engine's error message, for the log.
     """
 
     status: int
@@ -33,7 +34,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """Prefix blocks stored in or dropped from an engine's cache."""
+    """Prefix blocks stored in or evicted from an engine's cache."""
 
     seq: int
     stored: list[int]
@@ -41,7 +42,7 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True):
-    """The whole wanted state of an engine and the lease's fence."""
+    """Complete desired state of an engine, with the lease's fencing token."""
 
     fence: int
     versions: list[str]
@@ -75,34 +76,34 @@
     version: str = "",
     attempt: str = "",
 ) -> Stream | Refusal:
-    """Ask an engine for an answer, from its first token or a later one.
+    """Request an answer, from its first token or a later one.
 
     Args:
         client: HTTP client.
         address: The runner's endpoint.
         request_id: Id of the request, also that of the engine's stream.
         body: The caller's chat-completions request.
-        tokens: The answer's tokens that the caller already has.
+        tokens: Tokens of the answer already sent to the caller.
         priority: Higher is more urgent.
-        version: The version to run, in place of the body's.
-        attempt: Id of the attempt that reads it.
+        version: Version to run, overriding that of the body.
+        attempt: Id of the attempt that reads the answer.
 
     Raises:
         CallFailedError: If the connection fails.
     """
-    wanted = dict(body)
-    wanted["stream"] = True
+    payload = dict(body)
+    payload["stream"] = True
     if version:
-        wanted["version"] = version
+        payload["version"] = version
     if tokens:
-        wanted["continue_tokens"] = tokens
+        payload["continue_tokens"] = tokens
     headers = (
         ("content-type", "application/json"),
         ("x-request-id", request_id),
         ("x-priority", str(priority)),
         *_make_attempt_headers(attempt),
     )
-    data = msgspec.json.encode(wanted)
+    data = msgspec.json.encode(payload)
     stream = await client.open(
         address, "POST", "/v1/chat/completions", data, headers
     )
@@ -116,21 +117,21 @@
     after: int,
     attempt: str = "",
 ) -> Stream | Refusal:
-    """Read an answer on from token ``after`` over a new connection.
+    """Continue reading an answer after token ``after``, on a new connection.
 
     Args:
         client: HTTP client.
         address: The runner's endpoint.
         request_id: Id of the request, also that of the engine's stream.
-        after: Number of its tokens that are not wanted again.
-        attempt: Id of the attempt that reads it.
+        after: Number of tokens already received.
+        attempt: Id of the attempt that reads the answer.
 
     Raises:
         CallFailedError: If the connection fails.
     """
-    # Connections that are open may all have been forgotten by something
-    # between the two ends; they look healthy but stay silent. Only a
-    # connection made now tells a silent path from a dead runner.
+    # A middlebox may have dropped the state of all open connections; they
+    # look healthy but stay silent. Only a new connection distinguishes a
+    # silent path from a dead runner.
     target = f"/v1/streams/{request_id}?after={after}"
     stream = await client.open(
         address,
@@ -145,14 +146,17 @@
 async def cancel_answer(
     client: Client, address: Address, request_id: str, attempt: str = ""
 ) -> bool:
-    """Tell an engine to drop an answer; False if it can't be told.
+    """Cancel an answer at its engine.
 
     Args:
         client: HTTP client.
         address: The runner's endpoint.
         request_id: Id of the request, also that of the engine's stream.
-        attempt: Id of the attempt that read it; the answer goes on if
-            another one came to read it since.
+        attempt: Id of the attempt that read the answer. The answer continues
+            if another attempt has started to read it since.
+
+    Returns:
+        False if the call failed.
     """
     try:
         await client.call(
@@ -171,15 +175,15 @@
 async def fetch_load(
     client: Client, address: Address, runner: str, age: float, now: float
 ) -> LoadReport | None:
-    """Fetch a load report, or None if the runner gives none.
+    """Fetch a load report; return None if the runner provides none.
 
     Args:
         client: HTTP client.
         address: The runner's endpoint.
         runner: The runner's name.
-        age: How old the report is taken to be, in seconds; the runner's
-            clock is not ours.
-        now: Our time.
+        age: Assumed age of the report in seconds, as the runner's clock may
+            differ from the local one.
+        now: Current local time in seconds.
     """
     load = await _fetch(client, address, "/v1/load", _Load)
     if load is None:
@@ -197,7 +201,11 @@
 async def fetch_cache_events(
     client: Client, address: Address, after: int
 ) -> list[CacheEvent] | None:
-    """Fetch the cache events after number ``after``, maybe with gaps."""
+    """Fetch the cache events after number ``after``.
+
+    Returns:
+        The events, possibly with gaps, or None if the call failed.
+    """
     target = f"/v1/cache-events?after={after}"
     answer = await _fetch(client, address, target, _CacheEvents)
     return None if answer is None else answer.events
@@ -210,14 +218,18 @@
     timeout: float,
     may_send: Callable[[], bool] | None = None,
 ) -> Response | None:
-    """Send an order; None if it is unknown whether it took effect.
+    """Send an order to an engine.
 
     Args:
         client: HTTP client.
         address: The runner's endpoint.
         order: The order.
-        timeout: Seconds for the whole call.
-        may_send: Asked right before the first byte leaves.
+        timeout: Timeout of the whole call in seconds.
+        may_send: Called right before the first byte is sent; the call is
+            abandoned if it returns False.
+
+    Returns:
+        The response, or None if it is unknown whether the order took effect.
     """
     try:
         return await client.call(
@@ -244,7 +256,7 @@
             return stream
         answer = await stream.read()
     except BaseException:
-        # Also on cancellation: nobody else holds this connection.
+        # Also on cancellation, as nothing else references this connection.
         stream.close()
         raise
     stream.close()
--- a/lagoonpost/runners/kv.py
+++ b/lagoonpost/runners/kv.py
@@ -1,4 +1,4 @@
-"""Moves KV caches off leaving runners, in the order that saves most."""
+"""Moves KV caches off leaving runners, in the order that saves most work."""
 
 import asyncio
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 )
 from lagoonpost.tables.entity import Runner
 
-# Weight of the newest export in the measured rate of a link.
+# Weight of the newest export in the moving average of a link's rate.
 NEWEST_EXPORT_WEIGHT = 0.3
 
 
@@ -29,10 +29,11 @@
 
 
 class KvMover:
-    """Exports from one runner after another export from it has ended.
+    """Moves KV caches, with one export at a time per source runner.
 
-    One at a time: side by side, all exports would reach the deadline
-    unfinished and save nothing; in turn, most are whole by then.
+    When a runner with many answers is reclaimed, concurrent exports would
+    all be incomplete at the deadline and save nothing. In sequence, most
+    complete in time.
     """
 
     def __init__(self, client: Client) -> None:
@@ -44,9 +45,15 @@
     async def move(
         self, transfer: PendingTransfer, source: Runner, target: Runner
     ) -> bool:
-        """Move one answer's KV cache and tell whether it is whole there.
+        """Move one answer's KV cache; return by the transfer's deadline.
 
-        Returns by the evacuee's deadline at the latest.
+        Args:
+            transfer: Request, size and deadline of the transfer.
+            source: Runner that holds the cache.
+            target: Runner that receives it.
+
+        Returns:
+            Whether the target holds the complete cache.
         """
         loop = asyncio.get_running_loop()
         job = _Job(transfer, target, loop.create_future())
@@ -61,8 +68,8 @@
         jobs = self._jobs[source.name]
         try:
             while jobs:
-                # Answers of one notice ask within one turn of the loop:
-                # choose only after all of them have.
+                # All answers affected by one reclaim notice call ``move`` in
+                # the same iteration of the event loop; choose after that.
                 await asyncio.sleep(0)
                 await self._run_next(source, jobs)
         finally:
--- a/lagoonpost/runners/plain.py
+++ b/lagoonpost/runners/plain.py
@@ -1,4 +1,4 @@
-"""Client of plain services on their runners."""
+"""HTTP client of plain (non-model) services."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,7 @@
 from lagoonpost.systems.booking import Answered, Lost, NotRun
 from lagoonpost.tables.ledger import RecordedAnswer
 
-# Headers that belong to one connection (RFC 9110, section 7.6.1) and are
-# made anew for the next one.
+# Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -28,7 +27,7 @@
 
 
 def drop_connection_headers(headers: Headers) -> Headers:
-    """Return ``headers`` without those of the connection."""
+    """Return ``headers`` without the hop-by-hop headers."""
     return tuple(
         (name, value)
         for name, value in headers
@@ -46,24 +45,27 @@
     timeout: float,
     may_send: Callable[[], bool],
 ) -> Answered | NotRun | Lost:
-    """Make a call that must not be repeated, and say whether it ran.
+    """Make a non-idempotent call and classify whether it ran.
 
     Args:
         client: HTTP client.
         address: Endpoint of the runner.
         method: HTTP method.
         target: Path and query.
-        headers: Headers to pass.
-        body: Body to pass.
-        timeout: Seconds for the whole call.
-        may_send: Asked right before the first byte leaves.
+        headers: Request headers; hop-by-hop headers are dropped.
+        body: Request body.
+        timeout: Timeout of the whole call in seconds.
+        may_send: Called right before the first byte is sent; the call is
+            abandoned if it returns False.
 
     Returns:
-        ``NotRun`` only if nothing was sent or the runner said so.
+        ``NotRun`` only if nothing was sent or the runner reported it;
+        ``Lost`` if it is unknown whether the call ran.
     """
     try:
-        # On an idle connection a failure never tells whether the request
-        # arrived. On a new one, failing to connect means that it did not.
+        # A failure on an idle connection leaves open whether the request
+        # arrived. On a new connection, a failure to connect proves that it
+        # did not.
         answer = await client.call(
             address,
             method,
@@ -83,7 +85,7 @@
 
 
 def is_refusal(answer: Response) -> bool:
-    """Tell whether a runner says that it did not run the call."""
+    """Return whether a response reports that the call did not run."""
     if answer.status not in REFUSALS:
         return False
     return read_execution(answer.headers, answer.body) == "not_run"
--- a/lagoonpost/runners/sse.py
+++ b/lagoonpost/runners/sse.py
@@ -1,4 +1,4 @@
-"""Reads an engine's server-sent events, many tokens at a time."""
+"""Parser of an engine's server-sent events."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,8 @@
 
 from lagoonpost.tables.token_usage import TokenUsage
 
-# Bytes of one event; a token with its frame has a few hundred.
+# A larger event is a protocol error; a token with its frame takes a few
+# hundred bytes.
 MAX_EVENT_BYTES = 1024 * 1024
 _DATA = b"data:"
 _ID = b"id:"
@@ -14,7 +15,7 @@
 
 
 class Tokens(NamedTuple):
-    """Neighbouring tokens of one answer.
+    """Consecutive tokens of one answer.
 
     Attributes:
         offset: Number of the answer's tokens before these.
@@ -26,14 +27,14 @@
 
 
 class Closing(NamedTuple):
-    """The closing event: the answer has ``usage.completion_tokens``."""
+    """The final event: the answer has ``usage.completion_tokens`` tokens."""
 
     finish_reason: str
     usage: TokenUsage
 
 
 class EngineError(NamedTuple):
-    """The engine ended the answer by an error, or broke the protocol."""
+    """The engine reported an error or violated the protocol."""
 
     detail: str
 
@@ -60,23 +61,28 @@
 
 
 class EventReader:
-    """Cuts the bytes of one response into events.
+    """Incremental parser of one response.
 
-    The relay's time goes into this loop, so tokens that follow each other
-    come out as one ``Tokens`` per read, and JSON is decoded by type.
+    Parsing dominates the CPU time of a relayed answer. Therefore consecutive
+    tokens of one read are merged into one ``Tokens``, and JSON is decoded
+    into typed structs.
     """
 
     def __init__(self) -> None:
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the whole events in ``data`` and what came before."""
+        """Return the events completed by ``data``.
+
+        Args:
+            data: Next bytes of the response.
+        """
         *blocks, self._incomplete = (self._incomplete + data).split(b"\n\n")
         events: list[StreamEvent] = []
         following = -1
         tokens: list[str] = []
         if len(self._incomplete) > MAX_EVENT_BYTES:
-            return [EngineError("an event is too large")]
+            return [EngineError("event exceeds the size limit")]
         for block in blocks:
             try:
                 number, chunk = _read_block(block)
@@ -118,4 +124,4 @@
     for choice in chunk.choices:
         if choice.finish_reason and chunk.usage is not None:
             return Closing(choice.finish_reason, chunk.usage)
-    return EngineError("neither a token nor the end")
+    return EngineError("event is neither a token nor the end of the answer")
--- a/test/margin_logs.py
+++ b/test/margin_logs.py
@@ -1,4 +1,4 @@
-"""Writes logs of gateways for the tests of margins."""
+"""Helpers that write gateway logs for the tests of margins."""
 
 import json
 from pathlib import Path
@@ -10,19 +10,19 @@
 
 
 def write(path: Path, *messages: dict[str, Any], end: str = "\n") -> Path:
-    text = "\n".join(json.dumps(each) for each in messages)
+    text = "\n".join(json.dumps(message) for message in messages)
     path.write_text(text + end)
     return path
 
 
-def make_usage(at: float, fence: int, **more: Any) -> dict[str, Any]:
+def make_usage(at: float, fence: int, **fields: Any) -> dict[str, Any]:
     return {
         "window": 7,
         "outcome": "done",
         "fence": fence,
         "timestamp": EPOCH + at,
         "message_type": "lagoonpost:duties:usage",
-        **more,
+        **fields,
     }
 
 
--- a/test/test_answer.py
+++ b/test/test_answer.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.runners.answer over stand-in engines in the loop."""
+"""Tests of lagoonpost.runners.answer with in-process stand-in engines."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """Engines in this loop and a placement that takes the next one."""
+    """In-process engines and a placement that selects them in order."""
 
     def __init__(self) -> None:
         self.engines: dict[str, EngineStandin] = {}
@@ -62,9 +62,11 @@
         return Refuse("r1", 503, "no_runner", 1.5)
 
     def ask(self, deadline: float | None = None) -> RelayedAnswer:
-        order = Generation("r1", BODY, deadline=deadline, prompt_tokens=PROMPT)
+        generation = Generation(
+            "r1", BODY, deadline=deadline, prompt_tokens=PROMPT
+        )
         return relay_answer(
-            order, self.runners[0], self.place, self.client, self.mover
+            generation, self.runners[0], self.place, self.client, self.mover
         )
 
     async def close(self) -> None:
@@ -73,8 +75,8 @@
             await engine.close()
 
 
-class Heard:
-    """What the caller got, checked as it came."""
+class Transcript:
+    """Collects what the caller received and checks it on arrival."""
 
     def __init__(self) -> None:
         self.text = ""
@@ -92,138 +94,149 @@
             self.end = outcome
 
 
-Hook = Callable[[Heard], Awaitable[None]]
+Hook = Callable[[Transcript], Awaitable[None]]
 
 
-async def _listen(answer: RelayedAnswer, hook: Hook | None = None) -> Heard:
-    heard = Heard()
+async def _collect(
+    answer: RelayedAnswer, hook: Hook | None = None
+) -> Transcript:
+    transcript = Transcript()
     async for outcome in answer:
-        heard.take(outcome)
+        transcript.take(outcome)
         if hook is not None:
-            await hook(heard)
-    return heard
+            await hook(transcript)
+    return transcript
 
 
-def _assert_whole(heard: Heard) -> None:
-    assert isinstance(heard.end, Completed)
-    assert heard.end.usage.completion_tokens == LENGTH
-    assert heard.text == WHOLE
+def _assert_whole(transcript: Transcript) -> None:
+    assert isinstance(transcript.end, Completed)
+    assert transcript.end.usage.completion_tokens == LENGTH
+    assert transcript.text == WHOLE
 
 
-def _play(story: Callable[[Fleet], Awaitable[None]]) -> None:
+def _run(scenario: Callable[[Fleet], Awaitable[None]]) -> None:
     async def run() -> None:
         fleet = Fleet()
         try:
-            await asyncio.wait_for(story(fleet), 60)
+            await asyncio.wait_for(scenario(fleet), 60)
         finally:
             await fleet.close()
 
     asyncio.run(run())
 
 
-def _hear_whole(*faults: Faults, moves: list[tuple[str, FailureKind]]) -> None:
-    """Play one answer over engines with ``faults``, then a sound one."""
+def _assert_answer_completes(
+    *faults: Faults, moves: list[tuple[str, FailureKind]]
+) -> None:
+    """Run one answer over engines with ``faults``, then a faultless one."""
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         for fault in faults:
             await fleet.add(fault)
         await fleet.add()
-        _assert_whole(await _listen(fleet.ask()))
+        _assert_whole(await _collect(fleet.ask()))
         assert fleet.asked == moves
         for engine in fleet.engines.values():
             assert engine.counts.bad_continuations == 0
 
-    _play(story)
+    _run(scenario)
 
 
 class TestFaultyRunner:
     def test_without_faults(self) -> None:
-        _hear_whole(Faults(), moves=[])
+        _assert_answer_completes(Faults(), moves=[])
 
     def test_cut_connection(self) -> None:
-        """A caller sees no gap when the connection to the runner is cut.
+        """Guards against a gap when the connection to the runner is cut.
 
-        The runner goes on; the answer is read on over a new connection.
+        The runner continues; the rest is read over a new connection.
         """
-        _hear_whole(Faults(cut_after=30), moves=[])
+        _assert_answer_completes(Faults(cut_after=30), moves=[])
 
     def test_silent_connection(self) -> None:
-        """The answer stops: something on the way forgot the connection.
+        """Guards against a stalled answer when a middlebox drops a connection.
 
-        New connections work, so the probe finds the answer and no token
-        is computed again.
+        New connections work, so the probe finds the answer and no token is
+        recomputed.
         """
-        _hear_whole(Faults(silence_after=30), moves=[])
+        _assert_answer_completes(Faults(silence_after=30), moves=[])
 
     def test_runner_freezes_in_mid_answer(self) -> None:
-        """The answer stops: its runner accepts calls but makes no tokens.
+        """Guards against a stalled answer when the runner freezes.
 
-        The probe gets a head and no token; the answer moves.
+        The runner accepts calls but generates no tokens: the probe receives
+        a response head and no token, and the answer moves.
         """
-        _hear_whole(Faults(freeze_after=30), moves=[("e0", "silent")])
+        _assert_answer_completes(
+            Faults(freeze_after=30), moves=[("e0", "silent")]
+        )
 
     def test_runner_fails_in_mid_answer(self) -> None:
-        _hear_whole(Faults(fail_after=30), moves=[("e0", "failed")])
+        _assert_answer_completes(
+            Faults(fail_after=30), moves=[("e0", "failed")]
+        )
 
     def test_runner_refuses_then_one_fails(self) -> None:
-        _hear_whole(
+        _assert_answer_completes(
             Faults(refuse=True),
             Faults(fail_status=500),
             moves=[("e0", "refused"), ("e1", "failed")],
         )
 
     def test_parts_twice_swapped_and_late(self) -> None:
-        """Parts come twice, in another order, and long after their time."""
-        _hear_whole(Faults(duplicate=True, reorder=True, late=True), moves=[])
+        """Parts may be duplicated, reordered and delayed."""
+        _assert_answer_completes(
+            Faults(duplicate=True, reorder=True, late=True), moves=[]
+        )
 
     def test_runner_dies_without_notice(self) -> None:
-        """The caller sees a short pause, then the rest of the answer.
+        """Guards against losing an answer when its runner is killed.
 
-        The runner's process was killed; another one computes the rest.
+        The caller sees a short pause; another runner generates the rest.
         """
 
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             doomed = await fleet.add()
             successor = await fleet.add()
 
-            async def kill(heard: Heard) -> None:
-                if heard.count >= 30 and not fleet.asked:
+            async def kill(transcript: Transcript) -> None:
+                if transcript.count >= 30 and not fleet.asked:
                     await doomed.close()
 
-            heard = await _listen(fleet.ask(), kill)
-            _assert_whole(heard)
+            transcript = await _collect(fleet.ask(), kill)
+            _assert_whole(transcript)
             assert fleet.asked == [("e0", "lost")]
             counts = successor.counts
             assert counts.tokens_recomputed >= PROMPT + 30
             assert counts.tokens_generated <= LENGTH - 30
 
-        _play(story)
+        _run(scenario)
 
 
 class TestGivingUp:
     def test_no_runner_left(self) -> None:
-        """All runners refuse: the caller hears so at once, as not run."""
+        """If all runners refuse, the answer fails at once as not run."""
 
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             await fleet.add(Faults(refuse=True))
-            heard = await _listen(fleet.ask())
-            assert heard.end == Failed("not_run", "no_runner", 1.5)
+            transcript = await _collect(fleet.ask())
+            assert transcript.end == Failed("not_run", "no_runner", 1.5)
 
-        _play(story)
+        _run(scenario)
 
     def test_deadline_passes_while_the_runner_is_frozen(self) -> None:
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             engine = await fleet.add(Faults(freeze_after=5))
             loop = asyncio.get_running_loop()
-            heard = await _listen(fleet.ask(loop.time() + 0.3))
-            assert heard.end == Failed("ran", "deadline", 1.0)
+            transcript = await _collect(fleet.ask(loop.time() + 0.3))
+            assert transcript.end == Failed("ran", "deadline", 1.0)
             while not engine.counts.canceled:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
-        _play(story)
+        _run(scenario)
 
     def test_caller_goes_and_the_runner_is_told(self) -> None:
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             engine = await fleet.add()
             parts = aiter(fleet.ask())
             assert isinstance(await anext(parts), Part)
@@ -231,7 +244,7 @@
             while not engine.counts.canceled:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
-        _play(story)
+        _run(scenario)
 
 
 class TestLeavingRunner:
@@ -243,31 +256,31 @@
     ) -> list[EngineStandin]:
         engines = []
 
-        async def story(fleet: Fleet) -> None:
+        async def scenario(fleet: Fleet) -> None:
             engines.append(await fleet.add(faults, options))
             engines.append(await fleet.add())
             answer = fleet.ask()
-            told = False
+            notified = False
 
-            async def tell(heard: Heard) -> None:
-                nonlocal told
-                if heard.count >= 40 and not told:
-                    told = True
+            async def notify(transcript: Transcript) -> None:
+                nonlocal notified
+                if transcript.count >= 40 and not notified:
+                    notified = True
                     loop = asyncio.get_running_loop()
                     answer.announce_reclaim(loop.time() + notice)
 
-            _assert_whole(await _listen(answer, tell))
+            _assert_whole(await _collect(answer, notify))
 
-        _play(story)
+        _run(scenario)
         return engines
 
     SLOW = OPTIONS._replace(token_rate=40.0)
 
     def test_cache_moves_and_little_is_recomputed(self) -> None:
-        """A reclaim notice comes under a draft whose cache can be moved.
+        """Guards against recomputing an answer after a reclaim notice.
 
-        The caller sees no pause; the next runner computes only what the
-        exported whole blocks do not hold.
+        The KV cache moves in time; the next runner recomputes only the
+        tokens outside the exported whole blocks.
         """
         old, new = self._leave(Faults(), self.SLOW, notice=1.5)
         assert old.counts.exported_bytes > 0
@@ -275,12 +288,12 @@
         assert 0 < new.counts.tokens_recomputed < 40
 
     def test_cut_export_falls_back_to_tokens(self) -> None:
-        """The export is cut half-way: the answer moves by its tokens."""
+        """If the export is cut half-way, the answer moves by its tokens."""
         _, new = self._leave(Faults(export_cut=0.5), self.SLOW, notice=1.5)
         assert new.counts.tokens_recomputed >= PROMPT + 40
 
     def test_export_too_slow_for_the_notice(self) -> None:
-        """The export would outlast the notice: the answer leaves in time."""
+        """If the export would outlast the notice, the answer moves in time."""
         slow = self.SLOW._replace(export_rate=4096.0)
         _, new = self._leave(Faults(), slow, notice=1.5)
         assert new.counts.tokens_recomputed >= PROMPT + 40
--- a/test/test_comeback.py
+++ b/test/test_comeback.py
@@ -1,4 +1,4 @@
-"""Answers that move away from a runner and come back to it."""
+"""Tests of answers that return to a runner they moved away from."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Mapping, Sequence
@@ -9,7 +9,7 @@
 
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Address
-from lagoonpost.runners import answer as driver
+from lagoonpost.runners import answer as answer_module
 from lagoonpost.runners.answer import Completed, Generation, relay_answer
 from lagoonpost.runners.engine import Refusal
 from lagoonpost.systems.relay import Relay, step
@@ -33,7 +33,7 @@
 
 
 class Stream:
-    """A run's events as they are made; empty for as long as it is silent."""
+    """Streams the events of a run, or nothing while it is silent."""
 
     def __init__(self, run: Answer, silent: bool) -> None:
         self._run = run
@@ -60,9 +60,9 @@
 
 
 class Engines:
-    """Two runners: one falls silent at first, the other one is full.
+    """Two runners: the first run of one is silent, the other one is full.
 
-    Calls to cancel take a while to arrive, and name the request alone.
+    Cancellations arrive late and identify only the request, not the run.
     """
 
     def __init__(self) -> None:
@@ -82,8 +82,8 @@
     ) -> Stream | Refusal:
         if address.port == 2:
             return Refusal(503, "not_run", "full")
-        wanted = {**body, "continue_tokens": list(tokens)}
-        self.runs.append(Answer(request_id, wanted))
+        payload = {**body, "continue_tokens": list(tokens)}
+        self.runs.append(Answer(request_id, payload))
         return Stream(self.runs[-1], silent=len(self.runs) == 1)
 
     async def resume(self, *call: Any) -> Refusal:
@@ -100,28 +100,28 @@
     def test_the_run_that_came_back_is_not_cancelled(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a late call that ends the next run at a runner."""
+        """Guards against a late cancellation that ends the next run."""
         engines = Engines()
-        monkeypatch.setattr(driver, "open_answer", engines.open)
-        monkeypatch.setattr(driver, "resume_answer", engines.resume)
-        monkeypatch.setattr(driver, "cancel_answer", engines.cancel)
+        monkeypatch.setattr(answer_module, "open_answer", engines.open)
+        monkeypatch.setattr(answer_module, "resume_answer", engines.resume)
+        monkeypatch.setattr(answer_module, "cancel_answer", engines.cancel)
 
         async def place(failed: Runner, kind: FailureKind) -> Runner:
             return FULL if failed is HOME else HOME
 
-        async def story() -> list[object]:
-            order = Generation("r", BODY)
-            answer = relay_answer(order, HOME, place, Client())
+        async def run() -> list[object]:
+            generation = Generation("r", BODY)
+            answer = relay_answer(generation, HOME, place, Client())
             return [outcome async for outcome in answer]
 
-        outcomes = play_time(story())
+        outcomes = play_time(run())
         assert isinstance(outcomes[-1], Completed)
         silent, whole = engines.runs
         assert engines.cancelled == [silent]
         assert len(whole.tokens) == TOKENS
 
     def test_tokens_of_the_run_before_are_dropped(self) -> None:
-        """Guards against two runs of one runner in one answer."""
+        """Guards against mixing the tokens of two runs of one runner."""
         relay = Relay([])
         step(relay, Placed(HOME))
         step(relay, Opened(1))
--- a/test/test_engine.py
+++ b/test/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of lagoonpost.runners.engine and sse against the stand-in."""
+"""Tests of lagoonpost.runners.engine and sse with a stand-in engine."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,8 +29,8 @@
 BODY = {"model": "m", "messages": MESSAGES, "max_tokens": 40}
 
 
-class Bench:
-    """One engine and one client on a running loop."""
+class Fixture:
+    """An engine and a client in the running loop."""
 
     def __init__(self, engine: EngineStandin, address: Address) -> None:
         self.engine = engine
@@ -46,19 +46,19 @@
         return await resume_answer(self.client, self.address, "r1", after)
 
 
-def _play(
-    story: Callable[[Bench], Awaitable[None]],
+def _run(
+    scenario: Callable[[Fixture], Awaitable[None]],
     options: EngineOptions = FAST,
     faults: Faults | None = None,
 ) -> None:
     async def run() -> None:
         engine = EngineStandin("e1", options)
         engine.set_faults(faults or Faults())
-        bench = Bench(engine, await engine.start(LOOPBACK))
+        fixture = Fixture(engine, await engine.start(LOOPBACK))
         try:
-            await asyncio.wait_for(story(bench), 30)
+            await asyncio.wait_for(scenario(fixture), 30)
         finally:
-            bench.client.close()
+            fixture.client.close()
             await engine.close()
 
     asyncio.run(run())
@@ -84,82 +84,82 @@
 
 class TestAnswer:
     def test_streams_whole_deterministic_answer(self) -> None:
-        async def story(bench: Bench) -> None:
-            text, closing = await _read(await bench.open())
+        async def scenario(fixture: Fixture) -> None:
+            text, closing = await _read(await fixture.open())
             assert text == answer_text(MESSAGES, 40)
             assert closing is not None
             assert closing.finish_reason == "length"
             assert closing.usage.completion_tokens == 40
             assert closing.usage.prefilled_tokens == 81
 
-        _play(story)
+        _run(scenario)
 
     def test_prefills_only_what_the_cache_lacks(self) -> None:
-        async def story(bench: Bench) -> None:
-            await _read(await bench.open())
-            await _read(await bench.open())
-            # 81 prompt tokens are 5 whole blocks of 16 and one more.
-            assert bench.engine.counts.tokens_prefilled == 81 + 1
+        async def scenario(fixture: Fixture) -> None:
+            await _read(await fixture.open())
+            await _read(await fixture.open())
+            # 81 prompt tokens are 5 complete blocks of 16 and one more.
+            assert fixture.engine.counts.tokens_prefilled == 81 + 1
 
-        _play(story)
+        _run(scenario)
 
     def test_resumes_after_a_cut_connection(self) -> None:
-        async def story(bench: Bench) -> None:
-            text, closing = await _read(await bench.open())
+        async def scenario(fixture: Fixture) -> None:
+            text, closing = await _read(await fixture.open())
             assert closing is None
             assert text == answer_text(MESSAGES, 7)
-            rest, closing = await _read(await bench.resume(7))
+            rest, closing = await _read(await fixture.resume(7))
             assert text + rest == answer_text(MESSAGES, 40)
             assert closing is not None
 
-        _play(story, faults=Faults(cut_after=7))
+        _run(scenario, faults=Faults(cut_after=7))
 
     def test_continues_after_given_tokens_and_counts_them(self) -> None:
-        async def story(bench: Bench) -> None:
+        async def scenario(fixture: Fixture) -> None:
             tokens = answer_text(MESSAGES, 10).split()
             text, _ = await _read(
-                await bench.open(tuple(f"{token} " for token in tokens))
+                await fixture.open(tuple(f"{token} " for token in tokens))
             )
             whole = answer_text(MESSAGES, 40)
             assert answer_text(MESSAGES, 10) + text == whole
-            assert bench.engine.counts.tokens_recomputed == 91
-            assert bench.engine.counts.tokens_generated == 30
+            assert fixture.engine.counts.tokens_recomputed == 91
+            assert fixture.engine.counts.tokens_generated == 30
 
-        _play(story)
+        _run(scenario)
 
     def test_refuses_tokens_of_another_answer(self) -> None:
-        async def story(bench: Bench) -> None:
-            assert isinstance(await bench.open(("foreign ",)), Refusal)
-            assert bench.engine.counts.bad_continuations == 1
+        async def scenario(fixture: Fixture) -> None:
+            assert isinstance(await fixture.open(("foreign ",)), Refusal)
+            assert fixture.engine.counts.bad_continuations == 1
 
-        _play(story)
+        _run(scenario)
 
     def test_cancels(self) -> None:
-        async def story(bench: Bench) -> None:
-            stream = await bench.open()
+        async def scenario(fixture: Fixture) -> None:
+            stream = await fixture.open()
             assert isinstance(stream, Stream)
-            assert await cancel_answer(bench.client, bench.address, "r1")
+            assert await cancel_answer(fixture.client, fixture.address, "r1")
             stream.close()
-            resumed = await bench.resume(0)
+            resumed = await fixture.resume(0)
             assert isinstance(resumed, Refusal)
             assert resumed.status == 404
 
-        _play(story, EngineOptions(token_rate=5.0))
+        _run(scenario, EngineOptions(token_rate=5.0))
 
     def test_refusal_says_not_run(self) -> None:
-        async def story(bench: Bench) -> None:
-            refused = await bench.open()
+        async def scenario(fixture: Fixture) -> None:
+            refused = await fixture.open()
             assert isinstance(refused, Refusal)
             assert refused.execution == "not_run"
-            assert bench.engine.counts.requests == 0
+            assert fixture.engine.counts.requests == 0
 
-        _play(story, faults=Faults(refuse=True))
+        _run(scenario, faults=Faults(refuse=True))
 
 
 class TestSilence:
     def test_silent_connection_while_a_new_one_works(self) -> None:
-        async def story(bench: Bench) -> None:
-            stream = await bench.open()
+        async def scenario(fixture: Fixture) -> None:
+            stream = await fixture.open()
             assert isinstance(stream, Stream)
             reader = EventReader()
             parts = stream.parts()
@@ -169,44 +169,44 @@
                     assert isinstance(event, Tokens)
                     count += len(event.tokens)
             silent = asyncio.ensure_future(anext(parts))
-            rest, closing = await _read(await bench.resume(5))
+            rest, closing = await _read(await fixture.resume(5))
             assert closing is not None
             assert answer_text(MESSAGES, 40).endswith(rest)
             assert not silent.done()
             silent.cancel()
             stream.close()
 
-        _play(story, faults=Faults(silence_after=5))
+        _run(scenario, faults=Faults(silence_after=5))
 
 
 class TestOrder:
     def test_old_fence_is_refused_only_where_checked(self) -> None:
         for checks, status in ((True, 409), (False, 200)):
 
-            async def story(bench: Bench, status: int = status) -> None:
+            async def scenario(fixture: Fixture, status: int = status) -> None:
                 for fence, expected in ((5, 200), (4, status)):
                     order = EngineOrder(fence, ["v1"])
                     answer = await send_order(
-                        bench.client, bench.address, order, 5.0
+                        fixture.client, fixture.address, order, 5.0
                     )
                     assert answer is not None
                     assert answer.status == expected
 
-            _play(story, EngineOptions(checks_fence=checks))
+            _run(scenario, EngineOptions(checks_fence=checks))
 
     def test_load_report_counts_running(self) -> None:
-        async def story(bench: Bench) -> None:
-            stream = await bench.open()
+        async def scenario(fixture: Fixture) -> None:
+            stream = await fixture.open()
             assert isinstance(stream, Stream)
             await anext(stream.parts())
             load = await fetch_load(
-                bench.client, bench.address, "e1", 0.1, 10.0
+                fixture.client, fixture.address, "e1", 0.1, 10.0
             )
             assert load is not None
             assert (load.running, load.measured_at) == (1, 9.9)
             stream.close()
 
-        _play(story, EngineOptions(token_rate=5.0))
+        _run(scenario, EngineOptions(token_rate=5.0))
 
 
 class TestEventReader:
--- a/test/test_margins.py
+++ b/test/test_margins.py
@@ -1,4 +1,4 @@
-"""`lagoonpost margins` tells from logs what came nearest to each bound."""
+"""Tests of `lagoonpost margins`, and of the margins of duties and leases."""
 
 import json
 from pathlib import Path
@@ -49,7 +49,7 @@
 
 class TestReturns:
     def test_a_holder_that_is_back_counts_from_its_last_call(self):
-        """A's first call after B's is measured from A's last before it."""
+        """Measured from A's last call before B's to A's first one after."""
         margin = find_return(
             make_call(0.0, "a", 3),
             make_call(1.0, "a", 3),
@@ -63,7 +63,7 @@
         assert margin.gateways == ("a", "b")
 
     def test_the_soonest_of_several_returns_is_told(self):
-        """A later and nearer return isn't hidden by the first one."""
+        """A later but faster return must be reported instead of the first."""
         margin = find_return(
             make_call(0.0, "a", 1),
             make_call(1.0, "b", 2),
@@ -75,7 +75,7 @@
         assert margin.at == 9.0
 
     def test_several_others_between_are_one_return(self):
-        """A, B, C, A is a return of A, whoever was between."""
+        """A, B, C, A is one return of A, however many holders intervene."""
         margin = find_return(
             make_call(0.0, "a", 1),
             make_call(0.5, "b", 2),
@@ -85,7 +85,7 @@
         assert margin.value == pytest.approx(2.0)
 
     def test_a_change_without_a_return_has_no_value(self):
-        """A holder that goes on alone, or hands over, is no return."""
+        """Repeated calls or a change of the holder are not a return."""
         margin = find_return(
             make_call(0.0, "a", 1),
             make_call(1.0, "a", 1),
@@ -96,7 +96,7 @@
 
     @pytest.mark.parametrize("outcome", ["fenced", "refused"])
     def test_a_call_without_effect_is_no_act(self, outcome):
-        """What the platform turned away stands for no act of its holder."""
+        """Calls rejected by the platform are ignored."""
         margin = find_return(
             make_call(0.0, "a", 1),
             make_call(1.0, "b", 2, outcome),
@@ -105,7 +105,7 @@
         assert margin.value is None
 
     def test_a_call_without_an_answer_may_have_acted(self):
-        """It counts, and the case says that it got no answer."""
+        """An unanswered call counts and is reported as such."""
         margin = find_return(
             make_call(0.0, "a", 1),
             make_call(1.0, "b", 2, "unknown"),
@@ -115,7 +115,7 @@
         assert "no answer" in margin.what
 
     def test_subjects_are_apart(self):
-        """Usage by A, an order by B and usage by A are no return."""
+        """Usage by A, an order by B and usage by A are not a return."""
         margins = find_holder_returns(
             [
                 make_call(0.0, "a", 1),
@@ -124,14 +124,14 @@
             ],
             BOUND,
         )
-        assert [each.subject for each in margins] == [
+        assert [margin.subject for margin in margins] == [
             "model in north",
             "usage",
         ]
-        assert [each.value for each in margins] == [None, None]
+        assert [margin.value for margin in margins] == [None, None]
 
     def test_no_call_at_all_is_told(self):
-        """Logs without calls have a row that says so."""
+        """Logs without calls yield a margin without a value."""
         (margin,) = find_holder_returns([], BOUND)
         assert margin.rule == RETURN_BY_CALLS
         assert margin.value is None
@@ -139,8 +139,8 @@
 
 class TestCalls:
     def test_takes_holder_and_time_of_the_sending(self):
-        """A slow answer doesn't move its call."""
-        said = DutyCall(
+        """A slow reply must not shift the time of its call."""
+        message = DutyCall(
             EPOCH + 2.0,
             outcome="done",
             fence=3,
@@ -148,22 +148,22 @@
             sent_at=EPOCH + 0.5,
             window=7,
         )
-        (call,) = list_calls([Line(102.0, "other", said)])
+        (call,) = list_calls([Line(102.0, "other", message)])
         assert call.at == pytest.approx(100.5)
         assert call.holder == "a"
         assert call.recorded_at_send
 
     def test_takes_the_logs_name_and_time_without_them(self):
-        """Lines that don't say who sent when count as their log does."""
-        said = DutyCall(
+        """Without holder and sending time, the line's own values are used."""
+        message = DutyCall(
             EPOCH, outcome="done", fence=3, service="m", failure_domain="d"
         )
-        (call,) = list_calls([Line(EPOCH, "a", said)])
+        (call,) = list_calls([Line(EPOCH, "a", message)])
         assert (call.at, call.holder, call.subject) == (EPOCH, "a", "m in d")
         assert not call.recorded_at_send
 
     def test_puts_calls_in_the_order_of_sending(self):
-        """An answer that overtook another one changes no order."""
+        """Calls are not ordered by the arrival of their replies."""
         slow = DutyCall(5.0, outcome="done", fence=1, sent_at=1.0, window=1)
         fast = DutyCall(3.0, outcome="done", fence=2, sent_at=2.0, window=1)
         calls = list_calls([Line(3.0, "b", fast), Line(5.0, "a", slow)])
@@ -172,7 +172,7 @@
 
 class TestSharedFences:
     def test_two_holders_with_one_fence_on_a_subject(self):
-        """They are counted also where the platform turned one away."""
+        """Counted even if the platform rejected one of the calls."""
         margin = find_shared_fences(
             [make_call(0.0, "a", 3), make_call(1.0, "b", 3, "fenced")]
         )
@@ -181,7 +181,7 @@
         assert margin.gateways == ("a", "b")
 
     def test_the_same_fence_on_other_subjects_or_by_one_holder(self):
-        """Neither is a shared fence."""
+        """Neither case counts as a shared fence."""
         margin = find_shared_fences(
             [
                 make_call(0.0, "a", 3),
@@ -192,13 +192,17 @@
         assert margin.value == 0
 
     def test_says_if_the_fence_is_that_after_the_call(self):
-        """Older logs may show a fence that was never sent."""
-        late = make_call(1.0, "b", 3)._replace(recorded_at_send=False)
-        margin = find_shared_fences([make_call(0.0, "a", 3), late])
+        """Older logs may contain a fence that was never sent."""
+        call_with_late_fence = make_call(1.0, "b", 3)._replace(
+            recorded_at_send=False
+        )
+        margin = find_shared_fences(
+            [make_call(0.0, "a", 3), call_with_late_fence]
+        )
         assert "as it was after the call" in margin.what
 
     def test_two_holders_of_a_lease_with_one_fence(self):
-        """A store that came back from an older copy may give one twice."""
+        """A store restored from an older copy may issue a fence twice."""
         margin = find_shared_lease_fences(
             [
                 make_tenure("a", 3, 0.0, None),
@@ -228,19 +232,19 @@
         )
 
     def test_tell_how_long_each_held_it(self):
-        """A tenure lasts from taking to losing."""
+        """A tenure lasts from acquiring the lease to losing it."""
         tenures = self.read(
             (1.0, "a", True, 1), (3.0, "a", False, 1), (3.5, "b", True, 2)
         )
-        assert [each.seconds for each in tenures] == [2.0, None]
+        assert [tenure.seconds for tenure in tenures] == [2.0, None]
 
     def test_a_killed_holders_end_is_not_guessed(self):
-        """It takes the lease again and no line tells how it lost it."""
+        """The end is unknown if the holder was killed before logging it."""
         tenures = self.read((1.0, "a", True, 1), (9.0, "a", True, 3))
-        assert [each.until for each in tenures] == [None, None]
+        assert [tenure.until for tenure in tenures] == [None, None]
 
     def test_the_soonest_return_to_the_lease(self):
-        """It is told with how long the other one held it."""
+        """Reported with the duration of the other holder's tenure."""
         (margin,) = find_lease_returns(
             [
                 make_tenure("a", 1, 0.0, 1.0),
@@ -253,7 +257,7 @@
         assert "b held it for 0.800 s" in margin.what
 
     def test_the_soonest_of_several_returns_to_the_lease(self):
-        """A later and nearer one isn't hidden by the first."""
+        """A later but faster return must be reported instead of the first."""
         (margin,) = find_lease_returns(
             [
                 make_tenure("a", 1, 0.0, 1.0),
@@ -267,12 +271,12 @@
         assert margin.value == pytest.approx(0.5)
 
     def test_no_lease_at_all_is_told(self):
-        """Logs without a lease have a row that says so."""
+        """Logs without a lease yield a margin that states so."""
         (margin,) = find_lease_returns([], BOUND)
         assert margin.what == "no lease was taken"
 
     def test_a_return_after_a_kill_is_not_told(self):
-        """Without the end of the first tenure there is no distance."""
+        """Without the end of the first tenure there is no value."""
         (margin,) = find_lease_returns(
             [
                 make_tenure("a", 1, 0.0, None),
@@ -287,7 +291,7 @@
 
 class TestCommand:
     def run(self, *arguments: str | Path) -> Result:
-        texts = [str(each) for each in arguments]
+        texts = [str(argument) for argument in arguments]
         return CliRunner().invoke(main, ["margins", *texts])
 
     @pytest.fixture
@@ -306,7 +310,7 @@
         return "--logs", first, "--logs", second
 
     def test_tells_a_return_over_several_logs(self, logs):
-        """Two gateways' lines are put together by time."""
+        """Lines of two gateways are merged by time."""
         result = self.run(*logs)
         assert result.exit_code == ExitCode.OK
         row = next(
@@ -320,13 +324,13 @@
         assert "[edge-a, edge-b]" in row
 
     def test_says_what_no_log_tells(self, logs):
-        """What can't be told has a row without a number."""
+        """Rules that cannot be checked have a row without a value."""
         output = self.run(*logs).output
         assert "requests that run more than once" in output
         assert "not told by the logs" in output
 
     def test_the_same_for_programs(self, logs):
-        """The document has each margin with its distance."""
+        """The JSON document contains the distance of each margin."""
         document = json.loads(self.run(*logs, "--json").output)
         margin = document["margins"][0]
         assert margin["rule"] == RETURN_BY_CALLS
@@ -335,7 +339,7 @@
         assert margin["at"] - document["start"] == pytest.approx(10.655)
 
     def test_tells_who_held_the_duties(self, tmp_path):
-        """Each tenure is a row."""
+        """The output has one row per tenure."""
         change = {
             "lease": "lease/duties",
             "holder": "edge-a",
@@ -349,14 +353,14 @@
         assert "2.859    edge-a" in self.run("--logs", path).output
 
     def test_tells_of_lines_that_were_dropped(self, tmp_path):
-        """A margin of logs that have gaps may be too wide."""
+        """Logs with gaps may hide smaller margins, so the gaps are shown."""
         path = tmp_path / "edge-a.log"
         dropped = {"message_type": "lagoonpost:log:dropped", "lines": 12}
         write(path, make_usage(0, 1), dropped)
         assert "12 lines are missing" in self.run("--logs", path).output
 
     def test_names_a_line_that_cant_be_read(self, tmp_path):
-        """The command ends with an error and no table."""
+        """The command fails with an error and prints no table."""
         path = tmp_path / "edge-a.log"
         path.write_text("no log\n")
         result = self.run("--logs", path)
--- a/test/test_messenger.py
+++ b/test/test_messenger.py
@@ -1,4 +1,4 @@
-"""Letters between gateways, and requests that go by letter or by call."""
+"""Tests of datagram messages and of gossip over datagrams or gRPC."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,23 +23,29 @@
 SENDER = Address("127.0.0.1", 9)
 
 
-async def start_with_posts(
-    count: int, change: Callable[[DatagramMessenger], None] = lambda post: None
+async def start_with_messengers(
+    count: int,
+    change: Callable[[DatagramMessenger], None] = lambda messenger: None,
 ) -> tuple[list[Peers], list[ControlTraffic]]:
-    """Start peers that have posts, changed by a test before they start."""
+    """Start peers with messengers, which ``change`` modifies before."""
     members: list[Peers] = []
     traffics = [ControlTraffic() for _ in range(count)]
     seeds: list[Address] = []
     for number, traffic in enumerate(traffics):
-        post = DatagramMessenger(traffic)
-        change(post)
-        # Others may have a port that is free for connections alone.
-        place = Address("127.0.0.1", find_port())
+        messenger = DatagramMessenger(traffic)
+        change(messenger)
+        # Needs a port that is free for both TCP and UDP; port 0 selects
+        # one that is free for TCP only.
+        address = Address("127.0.0.1", find_port())
         peers = make_peers(
-            f"gateway-{number}", seeds, place, traffic=traffic, post=post
+            f"gateway-{number}",
+            seeds,
+            address,
+            traffic=traffic,
+            messenger=messenger,
         )
         address = await peers.start()
-        await post.start(address)
+        await messenger.start(address)
         seeds.append(address)
         assert await peers.wait_current(20)
         members.append(peers)
@@ -47,7 +53,7 @@
 
 
 def count(traffic: ControlTraffic, kind: str) -> int:
-    """Return the messages of one kind that came."""
+    """Return the number of messages received of a kind."""
     return sum(
         messages
         for flow, messages, _ in traffic.list_flows()
@@ -61,50 +67,53 @@
     )
 
 
-class TestAsk:
-    def test_news_goes_by_letter(self):
-        """Calls over HTTP/2 were a fifth of a gateway's busy time."""
+class TestDatagramRequests:
+    def test_gossip_uses_datagrams(self):
+        """Guards against gossip over HTTP/2, which costs more CPU time.
+
+        Gossip over HTTP/2 took a fifth of a gateway's busy time.
+        """
 
         async def refuse(*call: object) -> None:
             return None
 
-        async def story() -> None:
-            members, traffics = await start_with_posts(3)
+        async def run() -> None:
+            members, traffics = await start_with_messengers(3)
             await wait_for(lambda: all(len(p.members()) == 3 for p in members))
             for peers in members:
                 peers._pool.call = refuse
             members[0].publish(LEAVING)
             await wait_known(members)
-            assert sum(count(each, "ask") for each in traffics) >= 2
+            assert sum(count(traffic, "ask") for traffic in traffics) >= 2
             await close_all(members)
 
-        asyncio.run(story())
+        asyncio.run(run())
 
     @pytest.mark.parametrize("lost", [GossipRequest, GossipReply])
-    def test_a_call_is_made_where_a_letter_is_lost(self, lost):
-        """News is lost with a datagram, or a peer is held dead for it."""
+    def test_lost_datagram_falls_back_to_grpc(self, lost):
+        """Guards against losing an update, or a peer, with one datagram."""
 
-        def lose(post: DatagramMessenger) -> None:
-            send = post.send
-            post.send = lambda letter, targets: (
-                None if isinstance(letter, lost) else send(letter, targets)
+        def lose(messenger: DatagramMessenger) -> None:
+            send = messenger.send
+            messenger.send = lambda message, targets: (
+                None if isinstance(message, lost) else send(message, targets)
             )
 
-        async def story() -> None:
-            members, _ = await start_with_posts(3, lose)
+        async def run() -> None:
+            members, _ = await start_with_messengers(3, lose)
             await wait_for(lambda: all(len(p.members()) == 3 for p in members))
             members[0].publish(LEAVING)
             await wait_known(members)
             assert all(len(p.members()) == 3 for p in members)
             await close_all(members)
 
-        asyncio.run(story())
+        asyncio.run(run())
 
-    def test_a_peer_without_a_post_is_called(self):
-        """Gateways of two releases run side by side for a while."""
+    def test_peer_without_messenger_is_called_over_grpc(self):
+        """During an upgrade, gateways of two releases run side by side."""
 
-        async def story() -> None:
-            members, _ = await start_with_posts(2)
+        async def run() -> None:
+            members, _ = await start_with_messengers(2)
             old = make_peers("gateway-old", [_address(members[0])])
             await old.start()
             await wait_for(lambda: len(old.members()) == 3)
@@ -112,16 +121,16 @@
             await wait_known([*members, old])
             await close_all([*members, old])
 
-        asyncio.run(story())
+        asyncio.run(run())
 
-    def test_peers_without_posts_need_none(self):
-        async def story() -> None:
+    def test_gossip_works_without_messengers(self):
+        async def run() -> None:
             members = await start_all(2)
             members[0].publish(LEAVING)
             await wait_known(members)
             await close_all(members)
 
-        asyncio.run(story())
+        asyncio.run(run())
 
 
 def _address(peers: Peers) -> Address:
@@ -129,35 +138,35 @@
     return Address(host, int(port))
 
 
-class TestPost:
-    def test_letters_are_read_as_written(self):
-        for letter in (
+class TestDatagramMessenger:
+    def test_messages_round_trip(self):
+        for message in (
             GossipRequest(7, Packet("gateway-1", facts=(LEAVING,), root=3)),
             GossipReply(7, Reply("gateway-2", True, differs=True)),
         ):
-            assert decode_message(encode_message(letter)) == letter
+            assert decode_message(encode_message(message)) == message
 
-    def test_an_answer_to_nobody_is_passed_over(self):
-        """A late answer came to a request that was given up."""
+    def test_late_reply_is_ignored(self):
+        """A reply may arrive after its request has timed out."""
 
-        async def story() -> None:
-            post = DatagramMessenger()
-            asking = DatagramRequests(post, lambda packet: None)
+        async def run() -> None:
+            messenger = DatagramMessenger()
+            requests = DatagramRequests(messenger, lambda packet: None)
             late = encode_message(GossipReply(1, Reply("gateway-9", True)))
-            post.send = lambda letter, targets: None
-            assert await asking.ask(SENDER, Packet("gateway-1")) is None
-            post._take(late, SENDER)
+            messenger.send = lambda message, targets: None
+            assert await requests.request(SENDER, Packet("gateway-1")) is None
+            messenger._dispatch(late, SENDER)
 
-        asyncio.run(story())
+        asyncio.run(run())
 
     @pytest.mark.parametrize(
         "data", [b"", b"\xc1", msgspec.msgpack.encode(("no such", {}))]
     )
-    def test_what_is_no_letter_is_passed_over(self, data):
+    def test_invalid_datagram_is_ignored(self, data):
         taken: list[object] = []
-        post = DatagramMessenger()
-        post.receive(
-            GossipRequest, lambda letter, sender: taken.append(letter)
+        messenger = DatagramMessenger()
+        messenger.set_handler(
+            GossipRequest, lambda message, sender: taken.append(message)
         )
-        post._take(data, SENDER)
+        messenger._dispatch(data, SENDER)
         assert not taken
--- a/test/test_node.py
+++ b/test/test_node.py
@@ -1,4 +1,4 @@
-"""Peers over real sockets on the loopback interface."""
+"""Tests of lagoonpost.peers.node over real loopback sockets."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -37,12 +37,12 @@
     return started
 
 
-async def wait_for(holds: Callable[[], bool]) -> None:
+async def wait_for(condition: Callable[[], bool]) -> None:
     for _ in range(1000):
-        if holds():
+        if condition():
             return
         await asyncio.sleep(0.02)
-    raise AssertionError("did not come to hold in 20 s")
+    raise AssertionError("condition not met within 20 s")
 
 
 async def close_all(members: Sequence[Peers]) -> None:
@@ -51,7 +51,7 @@
 
 class TestPeers:
     def test_fact_reaches_all(self):
-        async def play():
+        async def run():
             members = await start_all(5)
             members[3].publish(LEAVING)
             await wait_for(
@@ -62,16 +62,16 @@
             )
             await close_all(members)
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_fact_is_known_once_current(self):
-        """Work goes to a runner that has long said it leaves.
+        """Guards against offering requests to a runner known to be leaving.
 
-        A gateway was restarted with the store down, and began to serve
-        before it had asked its peers what they know.
+        With the store down, a restarted gateway must synchronize with its
+        peers before it serves.
         """
 
-        async def play():
+        async def run():
             first = make_peers("gateway-0", ())
             seed = await first.start()
             first.publish(LEAVING)
@@ -82,39 +82,39 @@
             assert second.facts("runner_leaving") == (LEAVING,)
             await close_all([first, second])
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_made_before_the_loop_runs(self):
-        """A daemon starts but none of its peers can reach it.
+        """Guards against a daemon that starts but is unreachable by peers.
 
-        It was put together before its loop ran, and its server was bound
-        to another loop, which never does.
+        If the server is constructed before the loop runs, grpclib binds it
+        to another loop, which never runs.
         """
         first = make_peers("gateway-0", ())
 
-        async def play():
+        async def run():
             seed = await first.start()
             second = make_peers("gateway-1", (seed,))
             await second.start()
             await wait_for(lambda: len(second.members()) == 2)
             await close_all([first, second])
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_first_of_all_is_current_alone(self):
-        async def play():
-            gone = make_peers("gateway-0", ())
-            seed = await gone.start()
-            await gone.close()
+        async def run():
+            departed = make_peers("gateway-0", ())
+            seed = await departed.start()
+            await departed.close()
             alone = make_peers("gateway-1", (seed,))
             await alone.start()
             assert await alone.wait_current(20)
             await alone.close()
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_left_member_is_gone_for_all(self):
-        async def play():
+        async def run():
             members = await start_all(3)
             await members[1].close()
             await wait_for(
@@ -125,7 +125,7 @@
             )
             await close_all([members[0], members[2]])
 
-        asyncio.run(play())
+        asyncio.run(run())
 
 
 class TestFetch:
@@ -134,31 +134,31 @@
             known = [Document(n, b"x" * 100_000) for n in range(9, 0, -1)]
             return [row for row in known if row.number > after]
 
-        async def play():
+        async def run():
             members = await start_all(2, on_fetch=find)
             fetched = await members[0].fetch(members[1].me, "ticket", 2)
             assert [row.number for row in fetched] == [3, 4, 5, 6, 7, 8, 9]
             await close_all(members)
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_lost_peer_is_no_answer(self):
-        async def play():
+        async def run():
             members = await start_all(2)
             lost = members[1].me
             await members[1].close()
             assert await members[0].fetch(lost, "ticket", 0) is None
             await members[0].close()
 
-        asyncio.run(play())
+        asyncio.run(run())
 
 
 class TestHandOver:
     def test_request_is_taken_once_though_asked_twice(self):
-        """A caller's draft runs twice.
+        """Guards against running a handed-over request twice.
 
-        The reply to a hand-over was lost, the leaving gateway asked again,
-        and its peer took the same request a second time.
+        If the reply to a hand-over is lost, the leaving gateway retries with
+        the same request.
         """
         taken: list[HandOver] = []
 
@@ -166,14 +166,14 @@
             taken.append(request)
             return True
 
-        async def play():
+        async def run():
             members = await start_all(2, on_hand_over=take)
             for _ in range(2):
                 assert await members[0].hand_over(members[1].me, REQUEST)
             assert taken == [REQUEST]
             await close_all(members)
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_refused_request_may_be_asked_again(self):
         answers = [False, True]
@@ -181,29 +181,29 @@
         async def take(request: HandOver) -> bool:
             return answers.pop(0)
 
-        async def play():
+        async def run():
             members = await start_all(2, on_hand_over=take)
             giver, taker = members
             assert not await giver.hand_over(taker.me, REQUEST)
             assert await giver.hand_over(taker.me, REQUEST)
             await close_all(members)
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_lost_peer_takes_nothing(self):
-        async def play():
+        async def run():
             members = await start_all(2)
             lost = members[1].me
             await members[1].close()
             assert not await members[0].hand_over(lost, REQUEST)
             await members[0].close()
 
-        asyncio.run(play())
+        asyncio.run(run())
 
 
 class TestBadInput:
     def test_garbage_leaves_the_member_running(self):
-        async def play():
+        async def run():
             members = await start_all(2)
             address = parse_address(members[0].me.address)
             _, writer = await asyncio.open_connection(*address)
@@ -213,4 +213,4 @@
             await wait_for(lambda: members[1].facts("runner_leaving") != ())
             await close_all(members)
 
-        asyncio.run(play())
+        asyncio.run(run())
--- a/test/test_pool.py
+++ b/test/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to peers that are kept, closed and opened anew."""
+"""Tests of lagoonpost.peers.pool: reuse and closing of channels."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class SilentPeer:
-    """Takes connections and bytes, and never answers."""
+    """Accepts connections and reads, but never replies."""
 
     def __init__(self):
         self.accepted = 0
@@ -31,23 +31,23 @@
         writer.close()
 
 
-async def wait_for(holds) -> None:
+async def wait_for(condition) -> None:
     for _ in range(1000):
-        if holds():
+        if condition():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("did not come to hold")
+    raise AssertionError("condition not met within 10 s")
 
 
 class TestChannelPool:
     def test_silent_connection_is_never_used_again(self):
-        """A peer is held dead though it runs.
+        """Guards against declaring a running peer dead.
 
-        The one connection to it went silent, new ones would work, and all
-        probes went over the silent one.
+        The pooled connection went silent while new ones would work, and all
+        probes used the silent one.
         """
 
-        async def play():
+        async def run():
             peer = SilentPeer()
             address = await peer.start()
             pool = ChannelPool()
@@ -58,20 +58,21 @@
             pool.close()
             peer.close()
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_unused_connection_is_closed(self):
-        """The first gateways run out of memory as the fleet grows.
+        """Guards against seeds that run out of memory as the fleet grows.
 
-        Each member that starts asks these seeds and keeps the connection.
+        Every starting member connects to the seeds and must close the
+        connection when idle.
         """
 
-        async def play():
+        async def run():
             now = 0.0
             pool = ChannelPool(clock=lambda: now)
             seed = SilentPeer()
-            kept = pool._open(await seed.start())
-            await kept.channel.__connect__()
+            pooled = pool._open(await seed.start())
+            await pooled.channel.__connect__()
             await wait_for(lambda: seed.open == 1)
             now = IDLE_SECONDS + 1.0
             other = SilentPeer()
@@ -82,4 +83,4 @@
             seed.close()
             other.close()
 
-        asyncio.run(play())
+        asyncio.run(run())
