--- a/bench/account.py
+++ b/bench/account.py
@@ -22,7 +22,7 @@
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Address
 from lagoonpost_standins.deployment import make_caller_headers
-from soak.system import EVENTS, SoakSystem
+from soak.system import STREAM_EVENTS, SoakSystem
 
 SETTLE_SECONDS = 8.0
 """Time after the start in which gateways look for each other often."""
@@ -62,7 +62,7 @@
         "messages": Counter(),
         "bytes": Counter(),
     }
-    for address in system.collected:
+    for address in system.metrics_addresses:
         answer = await client.call(address, "GET", "/metrics", timeout=10.0)
         for what, direction, kind, value in _METRIC.findall(
             answer.body.decode()
@@ -152,7 +152,7 @@
         "busy": at_work,
         "answered": answered,
         "request_ms": round(1000 * spent / rate, 3),
-        "events_a_request": EVENTS / 2,
+        "events_a_request": STREAM_EVENTS / 2,
         "memory_mb": round(max(memory) / 1e6, 1),
     }
 
--- a/features/steps/reclaim.py
+++ b/features/steps/reclaim.py
@@ -14,7 +14,7 @@
 from lagoonpost.caller.client import Caller
 from lagoonpost.http.client import Client
 from lagoonpost.http.message import Response
-from lagoonpost_standins.engine_model import answer_text
+from lagoonpost_standins.engine_model import make_text
 
 TOKENS = 300
 ACT_AT = 40
@@ -178,7 +178,7 @@
 def check_whole(context: Any) -> None:
     for prompt, draft in zip(context.prompts, context.drafts, strict=True):
         messages = make_body(prompt)["messages"]
-        assert draft.text == answer_text(messages, TOKENS), draft.end
+        assert draft.text == make_text(messages, TOKENS), draft.end
         assert draft.end == "length", draft.end
 
 
--- a/lagoonpost_standins/orders.py
+++ b/lagoonpost_standins/cloud_api.py
@@ -9,7 +9,7 @@
 from lagoonpost.http.responder import Responder
 
 
-class Act(NamedTuple):
+class AcceptedCall(NamedTuple):
     """A call that was accepted.
 
     Attributes:
@@ -23,7 +23,7 @@
     holder: str
 
 
-class OrderDesk:
+class CloudStandin:
     """Takes calls, refuses old fencing numbers, and remembers all.
 
     Attributes:
@@ -41,9 +41,9 @@
         self.conflicts: list[int] = []
         self.orders: dict[tuple[str, str, bool], int] = {}
         self.calls: list[tuple[str, str, int, int]] = []
-        self.acts: list[Act] = []
-        self.dry = False
-        self.lose_answers = False
+        self.accepted_calls: list[AcceptedCall] = []
+        self.spot_exhausted = False
+        self.drop_responses = False
         self._fences: dict[object, int] = {}
 
     async def handle(self, request: Request, responder: Responder) -> None:
@@ -55,8 +55,10 @@
         self.calls.append((request.path, holder, fence, status))
         if status == 200:
             subject = _name_subject(request.path, call)
-            self.acts.append(Act(time.monotonic(), subject, holder))
-        if not self.lose_answers:
+            self.accepted_calls.append(
+                AcceptedCall(time.monotonic(), subject, holder)
+            )
+        if not self.drop_responses:
             await responder.send(Response(status))
 
     def _take(self, path: str, call: dict[str, Any], fence: int) -> int:
@@ -68,7 +70,7 @@
             self._take_usage(call["window_id"], call["counts"])
             return 200
         spot = bool(call.get("spot"))
-        if spot and self.dry and call["desired_count"]:
+        if spot and self.spot_exhausted and call["desired_count"]:
             return 409
         key = (call["service"], call["zone"], spot)
         self.orders[key] = call["desired_count"]
--- a/lagoonpost_standins/engine.py
+++ b/lagoonpost_standins/engine.py
@@ -11,7 +11,7 @@
 from lagoonpost_standins.engine_fault import Counts, Faults
 from lagoonpost_standins.engine_routes import Routes
 from lagoonpost_standins.engine_state import EngineState
-from lagoonpost_standins.stop import GRACE_SECONDS, wait_for_stop
+from lagoonpost_standins.shutdown import GRACE_SECONDS, wait_for_stop
 
 CRASH_STATUS = 70
 LIMITS = Limits(body=64 * 1024 * 1024)
--- a/lagoonpost_standins/engine_batch.py
+++ b/lagoonpost_standins/engine_batch.py
@@ -8,17 +8,17 @@
 from lagoonpost_standins.engine_fault import Counts, Faults
 from lagoonpost_standins.engine_model import (
     PrefixCache,
-    answer_seed,
-    answer_token,
+    find_default_length,
     hash_blocks,
-    natural_length,
+    hash_messages,
+    make_token,
     split_prompt,
 )
 
-MIN_STEP = 0.004
-MAX_STEP = 0.02
+MIN_STEP_SECONDS = 0.004
+MAX_STEP_SECONDS = 0.02
 # A thawed process does not catch up on the tokens of its frozen time.
-MAX_ELAPSED = 0.1
+MAX_ELAPSED_SECONDS = 0.1
 
 
 class EngineOptions(NamedTuple):
@@ -61,40 +61,40 @@
         self.id = request_id
         self.body = body
         messages = messages if isinstance(messages, list) else []
-        self.seed = answer_seed(messages)
+        self.seed = hash_messages(messages)
         self.prompt = split_prompt(messages)
-        natural = natural_length(self.seed)
+        natural = find_default_length(self.seed)
         self.length = limit if isinstance(limit, int) else natural
         self.finish_reason = "length" if isinstance(limit, int) else "stop"
         self.version = str(body.get("version", ""))
         self.tokens = list(earlier) if isinstance(earlier, list) else []
-        self.first = len(self.tokens)
+        self.resumed_tokens = len(self.tokens)
         self.events = [
             _encode_token(n + 1, token) for n, token in enumerate(self.tokens)
         ]
         self.prefill_left = 0.0
         self.prefilled = 0
-        self.credit = 0.0
+        self.token_credit = 0.0
         self.ended = False
         self.failed = False
         self.readers = 0
         self.attempts: list[str] = []
         self.unread_since = 0.0
-        self.grown = asyncio.Event()
+        self.new_events = asyncio.Event()
 
-    def note_attempt(self, attempt: str) -> None:
+    def record_attempt(self, attempt: str) -> None:
         """Note who reads; one that read before doesn't come to be last."""
         if attempt not in self.attempts:
             self.attempts.append(attempt)
 
-    def is_ended_by(self, attempt: str) -> bool:
+    def can_be_canceled_by(self, attempt: str) -> bool:
         """Tell whether a cancel ends it; one without a name always does."""
         return not attempt or attempt == self.attempts[-1]
 
-    def is_true_continuation(self) -> bool:
+    def has_valid_prefix(self) -> bool:
         """Tell whether the earlier tokens begin this answer."""
         return all(
-            token == answer_token(self.seed, n + 1)
+            token == make_token(self.seed, n + 1)
             for n, token in enumerate(self.tokens)
         )
 
@@ -102,17 +102,17 @@
         """Return the prompt and the answer so far."""
         return self.prompt + [token.strip() for token in self.tokens]
 
-    def wake(self) -> None:
+    def notify_readers(self) -> None:
         """Tell the connections that there is more to send."""
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.new_events.set()
+        self.new_events = asyncio.Event()
 
-    def produce(self, most: int) -> int:
+    def generate(self, most: int) -> int:
         """Generate up to ``most`` tokens and return how many."""
         count = min(most, self.length - len(self.tokens))
         for _ in range(count):
             n = len(self.tokens) + 1
-            token = answer_token(self.seed, n)
+            token = make_token(self.seed, n)
             self.tokens.append(token)
             self.events.append(_encode_token(n, token))
         if len(self.tokens) >= self.length and not self.ended:
@@ -125,7 +125,7 @@
         self.ended = True
         self.failed = True
         self.events.append(b'data: {"error":{"message":"failed"}}\n\n')
-        self.wake()
+        self.notify_readers()
 
     def _encode_end(self) -> bytes:
         return (
@@ -207,13 +207,13 @@
         ]
         heapq.heapify(self._waiting)
         answer.ended = True
-        answer.wake()
+        answer.notify_readers()
         return True
 
     async def run(self) -> None:
         """Generate tokens until canceled."""
         step = 1.0 / self.options.token_rate
-        step = min(max(step, MIN_STEP), MAX_STEP)
+        step = min(max(step, MIN_STEP_SECONDS), MAX_STEP_SECONDS)
         last = _now()
         while True:
             self._sweep()
@@ -223,7 +223,9 @@
                 last = _now()
             self._admit()
             await asyncio.sleep(step)
-            elapsed = min(_now() - last, MAX_ELAPSED) / self.faults.slow
+            elapsed = (
+                min(_now() - last, MAX_ELAPSED_SECONDS) / self.faults.slow
+            )
             last = _now()
             self._step(elapsed)
 
@@ -239,7 +241,7 @@
             answer.prefilled = len(tokens) - cached
             answer.prefill_left = float(answer.prefilled)
             counts.tokens_prefilled += answer.prefilled
-            if answer.first:
+            if answer.resumed_tokens:
                 counts.tokens_recomputed += answer.prefilled
         for answer in self.running:
             seen = self.counts.together.get(answer.id, 0)
@@ -262,9 +264,9 @@
 
     def _generate(self, answer: Answer, elapsed: float) -> None:
         faults = self.faults
-        answer.credit += elapsed * self.options.token_rate
-        count = int(answer.credit)
-        answer.credit -= count
+        answer.token_credit += elapsed * self.options.token_rate
+        count = int(answer.token_credit)
+        answer.token_credit -= count
         done = len(answer.tokens)
         if self._is_poison(answer) and done + count >= faults.crash_after:
             self.crash()
@@ -275,8 +277,8 @@
         if faults.fail_after is not None:
             count = min(count, max(0, faults.fail_after - done))
         if count:
-            self.counts.tokens_generated += answer.produce(count)
-            answer.wake()
+            self.counts.tokens_generated += answer.generate(count)
+            answer.notify_readers()
         if failing and len(answer.tokens) == faults.fail_after:
             answer.fail()
 
--- a/lagoonpost_standins/engine_feed.py
+++ b/lagoonpost_standins/engine_events.py
@@ -6,7 +6,7 @@
 from lagoonpost_standins.engine_batch import Answer
 from lagoonpost_standins.engine_fault import Faults
 
-LATE_EVENTS = 8
+LATE_EVENT_POSITION = 8
 EVENT_STREAM = (
     ("content-type", "text/event-stream"),
     ("cache-control", "no-store"),
@@ -23,7 +23,7 @@
         self.silent = False
 
 
-class Feed:
+class EventSender:
     """Sends the events of answers to the connections that read them."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         connection: _Connection,
     ) -> None:
         while True:
-            grown = answer.grown
+            grown = answer.new_events
             events = answer.events[position:]
             events = self._limit(events, position, connection)
             if connection.cut:
@@ -100,6 +100,6 @@
             events = [event for pair in pairs for event in reversed(pair)]
         if self.faults.duplicate:
             events = [event for event in events for _ in (0, 1)]
-        if self.faults.late and position > LATE_EVENTS:
+        if self.faults.late and position > LATE_EVENT_POSITION:
             events = [answer.events[0], *events]
         return events
--- a/lagoonpost_standins/engine_model.py
+++ b/lagoonpost_standins/engine_model.py
@@ -7,7 +7,7 @@
 import xxhash
 
 BLOCK_TOKENS = 16
-NATURAL_TOKENS = 32
+MIN_DEFAULT_TOKENS = 32
 MAX_EVENTS = 4096
 _WORDS = (
     "clay",
@@ -29,7 +29,7 @@
 )
 
 
-def answer_token(seed: int, index: int) -> str:
+def make_token(seed: int, index: int) -> str:
     """Return token ``index`` (from 1) of the answer with ``seed``.
 
     The index is part of the word, so that a lost, repeated or foreign
@@ -39,20 +39,20 @@
     return f"{_WORDS[digest % len(_WORDS)]}{index} "
 
 
-def answer_seed(messages: Sequence[object]) -> int:
+def hash_messages(messages: Sequence[object]) -> int:
     """Return the seed of the answer to ``messages``."""
     return xxhash.xxh32_intdigest(msgspec.json.encode(messages))
 
 
-def answer_text(messages: Sequence[object], tokens: int) -> str:
+def make_text(messages: Sequence[object], tokens: int) -> str:
     """Return the whole answer of ``tokens`` tokens, for comparisons."""
-    seed = answer_seed(messages)
-    return "".join(answer_token(seed, n + 1) for n in range(tokens))
+    seed = hash_messages(messages)
+    return "".join(make_token(seed, n + 1) for n in range(tokens))
 
 
-def natural_length(seed: int) -> int:
+def find_default_length(seed: int) -> int:
     """Return how long an answer gets when the caller sets no limit."""
-    return NATURAL_TOKENS + seed % NATURAL_TOKENS
+    return MIN_DEFAULT_TOKENS + seed % MIN_DEFAULT_TOKENS
 
 
 def split_prompt(messages: Sequence[object]) -> list[str]:
--- a/lagoonpost_standins/engine_routes.py
+++ b/lagoonpost_standins/engine_routes.py
@@ -14,7 +14,7 @@
 from lagoonpost_standins.engine_model import hash_blocks
 from lagoonpost_standins.engine_state import EngineState, Order, make_problem
 
-EXPORT_PART = 65536
+EXPORT_CHUNK_BYTES = 65536
 
 
 class _KvHead(msgspec.Struct):
@@ -80,7 +80,7 @@
         if answer is None:
             await responder.send(make_problem(404, "no such stream"))
         elif request.method == "DELETE":
-            if not answer.is_ended_by(_find_attempt(request)):
+            if not answer.can_be_canceled_by(_find_attempt(request)):
                 problem = make_problem(409, "another attempt reads it")
                 await responder.send(problem)
                 return
@@ -90,7 +90,7 @@
         elif target.tail == "export":
             await self._export(responder, answer)
         else:
-            answer.note_attempt(_find_attempt(request))
+            answer.record_attempt(_find_attempt(request))
             after = int(parse_qs(request.query).get("after", ["0"])[0])
             await self._engine.feed.send(responder, answer, after, first=False)
 
@@ -98,7 +98,7 @@
         engine = self._engine
         body = msgspec.json.decode(request.body, type=dict[str, object])
         answer = Answer(request.header("x-request-id") or "", body)
-        refusal = engine.refuses(answer.version)
+        refusal = engine.find_refusal(answer.version)
         if refusal is not None:
             engine.batch.counts.refused += 1
             await responder.send(make_problem(503, refusal))
@@ -108,14 +108,16 @@
                 make_problem(engine.faults.fail_status, "failed", "unknown")
             )
             return
-        if not answer.is_true_continuation():
+        if not answer.has_valid_prefix():
             engine.batch.counts.bad_continuations += 1
             await responder.send(make_problem(400, "not this answer's tokens"))
             return
-        answer.note_attempt(_find_attempt(request))
+        answer.record_attempt(_find_attempt(request))
         priority = int(request.header("x-priority") or "0")
         engine.batch.submit(answer, priority)
-        await engine.feed.send(responder, answer, answer.first, first=True)
+        await engine.feed.send(
+            responder, answer, answer.resumed_tokens, first=True
+        )
 
     async def _export(self, responder: Responder, answer: Answer) -> None:
         engine = self._engine
@@ -133,8 +135,8 @@
         cut = engine.faults.export_cut
         end = len(data) if cut is None else int(len(data) * cut)
         await responder.start(200, ())
-        for start in range(0, end, EXPORT_PART):
-            part = data[start : min(end, start + EXPORT_PART)]
+        for start in range(0, end, EXPORT_CHUNK_BYTES):
+            part = data[start : min(end, start + EXPORT_CHUNK_BYTES)]
             await responder.write(part)
             engine.batch.counts.exported_bytes += len(part)
             if engine.options.export_rate:
@@ -159,7 +161,7 @@
 
     async def _order(self, request: Request, responder: Responder) -> None:
         order = msgspec.json.decode(request.body, type=Order)
-        await responder.send(self._engine.take_order(order))
+        await responder.send(self._engine.apply_order(order))
 
     async def _describe(self, request: Request, responder: Responder) -> None:
         await responder.send(make_json_response(200, self._engine.describe()))
--- a/lagoonpost_standins/engine_state.py
+++ b/lagoonpost_standins/engine_state.py
@@ -7,8 +7,8 @@
 
 from lagoonpost.http.message import Response, make_json_response
 from lagoonpost_standins.engine_batch import Batch, EngineOptions
+from lagoonpost_standins.engine_events import EventSender
 from lagoonpost_standins.engine_fault import Faults
-from lagoonpost_standins.engine_feed import Feed
 
 
 class Order(msgspec.Struct):
@@ -28,7 +28,7 @@
         self.name = name
         self.options = options
         self.batch = Batch(options, crash)
-        self.feed = Feed()
+        self.feed = EventSender()
         self.role = "serving"
         self.versions = set(options.versions)
         self.fence = 0
@@ -44,7 +44,7 @@
         self.batch.faults = faults
         self.feed.set_faults(faults)
         for answer in self.batch.answers.values():
-            answer.wake()
+            answer.notify_readers()
 
     def report_load(self) -> dict[str, float]:
         """Return a load report, up to its lag old."""
@@ -60,7 +60,7 @@
             self._load = (now, report)
         return self._load[1]
 
-    def take_order(self, order: Order) -> Response:
+    def apply_order(self, order: Order) -> Response:
         """Take over the whole wanted state, or refuse an old fence."""
         if self.options.checks_fence and order.fence < self.fence:
             return make_problem(409, "the fencing number is old")
@@ -84,7 +84,7 @@
             "versions": sorted(self.versions),
         }
 
-    def refuses(self, version: str) -> str | None:
+    def find_refusal(self, version: str) -> str | None:
         """Return why a request for ``version`` is not run, or None."""
         if self.faults.refuse or self.role != "serving":
             return "no new work"
--- a/lagoonpost_standins/main.py
+++ b/lagoonpost_standins/main.py
@@ -11,7 +11,7 @@
 from lagoonpost_standins.engine_batch import EngineOptions
 from lagoonpost_standins.platform import Platform
 from lagoonpost_standins.service import Service
-from lagoonpost_standins.stop import GRACE_SECONDS, wait_for_stop
+from lagoonpost_standins.shutdown import GRACE_SECONDS, wait_for_stop
 
 listen_option = click.option(
     "--listen", type=parse_address, metavar="HOST:PORT", required=True
--- a/lagoonpost_standins/rows.py
+++ b/lagoonpost_standins/rows.py
@@ -16,8 +16,8 @@
 from lagoonpost.http.responder import Responder
 
 Outage = Literal["none", "busy", "silent", "reset", "lost"]
-Place = tuple[str, str, str]
-KEPT_COPIES = 500
+RowId = tuple[str, str, str]
+MAX_SNAPSHOTS = 500
 """Copies that the store may come back from, one for each transaction."""
 
 
@@ -47,8 +47,8 @@
         self.calls = 0
         self.version = 0
         self.era: int | str = 0
-        self._past: list[tuple[float, int, dict[Place, StoredRow]]] = []
-        self._rows: dict[Place, StoredRow] = {}
+        self._past: list[tuple[float, int, dict[RowId, StoredRow]]] = []
+        self._rows: dict[RowId, StoredRow] = {}
         self._forgotten = 0
         self._changed = asyncio.Condition()
 
@@ -79,11 +79,11 @@
             if place[0] == table and row.value is not None
         ]
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Answer feeds that began before now with the loss of history."""
         self._forgotten = self.version
 
-    async def go_back(self, seconds: float) -> None:
+    async def roll_back(self, seconds: float) -> None:
         """Come back from a copy that is some seconds old.
 
         What was written since is gone, its versions are given out again,
@@ -185,7 +185,7 @@
         ]
         return self._reply(200, {"rows": rows})
 
-    def _find_changed(self, table: str, after: int) -> list[Place]:
+    def _find_changed(self, table: str, after: int) -> list[RowId]:
         changed = [
             (row.version, place)
             for place, row in self._rows.items()
@@ -193,20 +193,20 @@
         ]
         return [place for _, place in sorted(changed)]
 
-    async def _apply(self, changes: list[tuple[Place, str | None]]) -> None:
+    async def _apply(self, changes: list[tuple[RowId, str | None]]) -> None:
         async with self._changed:
             self.version += 1
             for place, value in changes:
                 self._rows[place] = StoredRow(self.version, value)
             self._past.append((read_seconds(), self.version, dict(self._rows)))
-            del self._past[:-KEPT_COPIES]
+            del self._past[:-MAX_SNAPSHOTS]
             self._changed.notify_all()
 
-    def _version_of(self, place: Place) -> int:
+    def _version_of(self, place: RowId) -> int:
         row = self._rows.get(place)
         return row.version if row and row.value is not None else 0
 
-    def _show(self, place: Place) -> dict[str, Any]:
+    def _show(self, place: RowId) -> dict[str, Any]:
         table, part, key = place
         version, value = self._rows[place]
         row = {"table": table, "part": part, "key": key, "ver": version}
@@ -229,5 +229,5 @@
     return asyncio.get_running_loop().time()
 
 
-def _place(row: dict[str, Any]) -> Place:
+def _place(row: dict[str, Any]) -> RowId:
     return str(row["table"]), str(row.get("part", "")), str(row["key"])
--- a/lagoonpost_standins/forwarded.py
+++ b/lagoonpost_standins/runner.py
@@ -46,14 +46,14 @@
 }
 
 
-class Copy(NamedTuple):
+class KvCopy(NamedTuple):
     """A run's memory at another runner."""
 
     attempt: str
     target: str
 
 
-class Seen(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """One request as it arrived, at a time of the steady clock."""
 
     request: Request
@@ -61,7 +61,7 @@
     at: float
 
 
-class ForwardedRunner:
+class RunnerStandin:
     """One runner.
 
     Args:
@@ -80,17 +80,17 @@
         freed: Handles that were given back here.
     """
 
-    copies: ClassVar[dict[str, Copy]] = {}
+    copies: ClassVar[dict[str, KvCopy]] = {}
 
     def __init__(self, id: str, events: int = 5) -> None:
         self.id = id
         self.fault: RunnerFault = "none"
         self.move_fault: MoveFault = "none"
-        self.freed: list[str] = []
+        self.freed_handles: list[str] = []
         self._stopped: dict[str, bool] = {}
         self.pause = 0.0
         self.events = events
-        self.seen: list[Seen] = []
+        self.received: list[ReceivedRequest] = []
         self.runs: Counter[str] = Counter()
         self.cancelled: list[str] = []
         self.address = Address("127.0.0.1", 0)
@@ -111,12 +111,14 @@
             await self._move(request, responder)
             return
         if request.path.startswith("/v1/kv-handle/"):
-            self.freed.append(request.path.rpartition("/")[2])
+            self.freed_handles.append(request.path.rpartition("/")[2])
             await responder.send(Response(200))
             return
         attempt = request.header("attempt-id") or ""
         refusal = self._refuse(request)
-        self.seen.append(Seen(request, refusal is None, time.monotonic()))
+        self.received.append(
+            ReceivedRequest(request, refusal is None, time.monotonic())
+        )
         if refusal is not None:
             await responder.send(refusal)
             return
@@ -157,7 +159,7 @@
             await responder.send(Response(refusal))
             return
         handle = f"{self.id}-{attempt}"
-        self.copies[handle] = Copy(attempt, call["to"])
+        self.copies[handle] = KvCopy(attempt, call["to"])
         if call.get("last"):
             self._stopped[attempt] = True
             if self.move_fault == "stop_unanswered":
--- a/lagoonpost_standins/table.py
+++ b/lagoonpost_standins/table.py
@@ -23,7 +23,7 @@
         self._last_version = 0
         self._past: list[tuple[int, dict[str, Row]]] = [(0, {})]
 
-    def go_back(self, transactions: int) -> None:
+    def roll_back(self, transactions: int) -> None:
         """Lose the last transactions; their versions are given out again."""
         del self._past[max(1, len(self._past) - transactions) :]
         self._last_version, rows = self._past[-1]
--- a/search/__main__.py
+++ b/search/__main__.py
@@ -5,12 +5,17 @@
 
 import click
 
-from search.changes import Mutator
-from search.choice import Chooser, Played
 from search.day import DayError, read_days
 from search.loop import Limits, search
+from search.mutation import Mutator
 from search.player import BenchPlayer, list_rules
-from search.summary import describe, format_summary, make_summary, write_all
+from search.selection import DaySelector, TrialResult
+from search.summary import (
+    describe_result,
+    format_summary,
+    make_summary,
+    write_all,
+)
 
 _FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 _FOLDER = click.Path(file_okay=False, path_type=Path)
@@ -80,7 +85,7 @@
     folder = out / "plays"
     folder.mkdir(parents=True, exist_ok=True)
     player = BenchPlayer(bench, site, code, folder, until, wait, why)
-    chooser = Chooser(starts, rules, Mutator(starts, until), seed, even)
+    chooser = DaySelector(starts, rules, Mutator(starts, until), seed, even)
     limits = Limits(plays, minutes * 60, jobs, first)
     results = search(chooser, player, rules, limits, _report)
     summary = make_summary(results, rules, seed, even)
@@ -89,8 +94,8 @@
     sys.exit(1 if summary.findings else 0)
 
 
-def _report(played: Played) -> None:
-    click.echo(describe(played), err=True)
+def _report(played: TrialResult) -> None:
+    click.echo(describe_result(played), err=True)
 
 
 if __name__ == "__main__":
--- a/search/day.py
+++ b/search/day.py
@@ -9,7 +9,7 @@
 import msgspec
 
 Value = str | int | float
-Trouble = dict[str, Value]
+DayEvent = dict[str, Value]
 
 _PLACE = re.compile(r"at `\$\.(\w+)(?:\[(\d+)\])?")
 """Field of a day in an error's text, and the number of the trouble."""
@@ -63,14 +63,14 @@
 
     name: str
     seed: int
-    troubles: tuple[Trouble, ...]
-    planned: int
-    head: dict[str, object]
+    events: tuple[DayEvent, ...]
+    planned_count: int
+    other_fields: dict[str, object]
 
-    def put(self, place: int, trouble: Trouble) -> "Day":
+    def replace_event(self, place: int, trouble: DayEvent) -> "Day":
         """Return the day with another trouble at a place."""
-        before, after = self.troubles[:place], self.troubles[place + 1 :]
-        return self._replace(troubles=(*before, trouble, *after))
+        before, after = self.events[:place], self.events[place + 1 :]
+        return self._replace(events=(*before, trouble, *after))
 
 
 def read_days(path: Path) -> list[Day]:
@@ -132,10 +132,12 @@
     """Return a day as the text of a file, a comment line before it."""
     lines = [f"# {comment}"] if comment else []
     lines += ["[[day]]", f"name = {_write(day.name)}", f"seed = {day.seed}"]
-    lines += [f"{name} = {_write(each)}" for name, each in day.head.items()]
-    written = [f"  {_write(each)}," for each in day.troubles]
-    lines += ["plan = [", *written[: day.planned], "]"]
-    lines += ["faults = [", *written[day.planned :], "]"]
+    lines += [
+        f"{name} = {_write(each)}" for name, each in day.other_fields.items()
+    ]
+    written = [f"  {_write(each)}," for each in day.events]
+    lines += ["plan = [", *written[: day.planned_count], "]"]
+    lines += ["faults = [", *written[day.planned_count :], "]"]
     return "\n".join(lines) + "\n"
 
 
--- a/search/loop.py
+++ b/search/loop.py
@@ -6,8 +6,8 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 from typing import NamedTuple
 
-from search.choice import Chooser, Played, Trial, is_beyond
 from search.player import Play, Player
+from search.selection import DaySelector, Trial, TrialResult, is_past_bound
 
 
 class Limits(NamedTuple):
@@ -27,19 +27,19 @@
 
 
 def search(
-    chooser: Chooser,
+    chooser: DaySelector,
     player: Player,
     rules: Sequence[str],
     limits: Limits,
-    report: Callable[[Played], None] = lambda _: None,
-) -> list[Played]:
+    report: Callable[[TrialResult], None] = lambda _: None,
+) -> list[TrialResult]:
     """Return all plays in the order in which their days were drawn.
 
     Plays are told to the chooser in this order, whichever ends first, and a
     day is drawn once the one `jobs` before it is told. So the days depend on
     the seed, on `jobs` and on the results alone.
     """
-    results: list[Played] = []
+    results: list[TrialResult] = []
     under_way: deque[tuple[Trial, Future[Play]]] = deque()
     end = time.monotonic() + limits.seconds
     going = True
@@ -56,11 +56,11 @@
             if not under_way:
                 return results
             trial, future = under_way.popleft()
-            played = Played(trial, future.result())
-            chooser.tell(played)
+            played = TrialResult(trial, future.result())
+            chooser.record(played)
             results.append(played)
             report(played)
-            if limits.first and is_beyond(played.play, rules):
+            if limits.first and is_past_bound(played.play, rules):
                 going = False
 
 
--- a/search/player.py
+++ b/search/player.py
@@ -105,10 +105,12 @@
         margins = find_margins(read_logs([log]))
     except LogError as error:
         return Play({}, broken=broken, died=f"no margins: {error}")
-    return Play(measure_all(margins), describe(margins), broken)
+    return Play(
+        find_least_distances(margins), describe_margins(margins), broken
+    )
 
 
-def measure_all(margins: Iterable[Margin]) -> dict[str, float]:
+def find_least_distances(margins: Iterable[Margin]) -> dict[str, float]:
     """Return the least distance of each rule, as a part of its bound."""
     distances: dict[str, float] = {}
     for each in margins:
@@ -121,7 +123,7 @@
     return distances
 
 
-def describe(margins: Iterable[Margin]) -> tuple[str, ...]:
+def describe_margins(margins: Iterable[Margin]) -> tuple[str, ...]:
     """Return the margins that occurred, in words."""
     return tuple(
         f"{each.rule}{f' ({each.subject})' if each.subject else ''}: "
--- a/search/choice.py
+++ b/search/selection.py
@@ -4,18 +4,18 @@
 from random import Random
 from typing import NamedTuple
 
-from search.changes import Mutator
 from search.day import Day
+from search.mutation import Mutator
 from search.player import Play
 
-KEPT = 5
+MAX_KEPT = 5
 """Days that the search goes on from."""
-FIRST = 6
+INITIAL_DRAWS = 6
 """Days that are drawn before the search goes on from any."""
-RESTART = 0.2
+RESTART_SHARE = 0.2
 """Share of the days after these that are drawn anew all the same, so that
 the search doesn't stay where nothing nearer is to be had."""
-FAR = 5.0
+MAX_DISTANCE = 5.0
 """Distance, in bounds, of what didn't occur. A day on which it did, however
 far from its bound, is nearer."""
 
@@ -36,32 +36,32 @@
     day: Day
 
 
-class Played(NamedTuple):
+class TrialResult(NamedTuple):
     """A trial and its play."""
 
     trial: Trial
     play: Play
 
 
-def measure(play: Play, rules: Sequence[str]) -> float:
+def sum_distances(play: Play, rules: Sequence[str]) -> float:
     """Return how far a play stayed from its bounds, all rules together.
 
     The sum lets a rule that is near tell of one that didn't occur: a lease
     that comes back soon, of calls that might.
     """
     return sum(
-        min(FAR, FAR if each is None else each)
+        min(MAX_DISTANCE, MAX_DISTANCE if each is None else each)
         for each in (play.distances.get(rule) for rule in rules)
     )
 
 
-def is_beyond(play: Play, rules: Sequence[str]) -> bool:
+def is_past_bound(play: Play, rules: Sequence[str]) -> bool:
     """Tell whether a play broke a rule, or went beyond the first bound."""
     distance = play.distances.get(rules[0])
     return bool(play.broken) or (distance is not None and distance < 0)
 
 
-class Chooser:
+class DaySelector:
     """Draws the days of a search.
 
     Args:
@@ -86,28 +86,30 @@
         self._rng = Random(seed)
         self._even = even
         self._drawn = 0
-        self.kept: list[Played] = []
+        self.kept: list[TrialResult] = []
 
     def draw(self) -> Trial:
         """Return the next day to play."""
         self._drawn += 1
         # Drawn in both ways, so that both begin with the same days.
-        anew = self._rng.random() < RESTART
-        if self._even or anew or self._drawn <= FIRST or not self.kept:
+        anew = self._rng.random() < RESTART_SHARE
+        if self._even or anew or self._drawn <= INITIAL_DRAWS or not self.kept:
             start = self._rng.choice(self._starts)
-            changed = self._mutator.scatter(self._rng, start)
-            return Trial(self._drawn, 0, changed.what, changed.day)
+            changed = self._mutator.randomize(self._rng, start)
+            return Trial(self._drawn, 0, changed.description, changed.day)
         # The nearer of two, so that the best ones are changed most often.
         ranks = range(len(self.kept))
         rank = min(self._rng.choice(ranks), self._rng.choice(ranks))
         parent = self.kept[rank].trial
-        changed = self._mutator.change(self._rng, parent.day)
-        return Trial(self._drawn, parent.number, changed.what, changed.day)
+        changed = self._mutator.mutate(self._rng, parent.day)
+        return Trial(
+            self._drawn, parent.number, changed.description, changed.day
+        )
 
-    def tell(self, played: Played) -> None:
+    def record(self, played: TrialResult) -> None:
         """Take note of a play; called in the order of the trials."""
         if played.play.died:
             return
         self.kept.append(played)
-        self.kept.sort(key=lambda each: measure(each.play, self._rules))
-        del self.kept[KEPT:]
+        self.kept.sort(key=lambda each: sum_distances(each.play, self._rules))
+        del self.kept[MAX_KEPT:]
--- a/search/summary.py
+++ b/search/summary.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from search.choice import Played, is_beyond, measure
 from search.day import write_day
+from search.selection import TrialResult, is_past_bound, sum_distances
 
 CLOSEST = 5
 """Days that are written as files, besides the findings."""
@@ -24,17 +24,17 @@
     even: bool
     plays: int
     first: int | None
-    findings: list[Played]
-    closest: list[Played]
+    findings: list[TrialResult]
+    closest: list[TrialResult]
 
 
 def make_summary(
-    results: Sequence[Played], rules: Sequence[str], seed: int, even: bool
+    results: Sequence[TrialResult], rules: Sequence[str], seed: int, even: bool
 ) -> Summary:
     """Return what a search found."""
-    beyond = [each for each in results if is_beyond(each.play, rules)]
+    beyond = [each for each in results if is_past_bound(each.play, rules)]
     whole = [each for each in results if not each.play.died]
-    whole.sort(key=lambda each: measure(each.play, rules))
+    whole.sort(key=lambda each: sum_distances(each.play, rules))
     return Summary(
         rules,
         seed,
@@ -49,13 +49,13 @@
 
 
 def write_all(
-    folder: Path, results: Sequence[Played], summary: Summary
+    folder: Path, results: Sequence[TrialResult], summary: Summary
 ) -> None:
     """Write the summary, and the days of closest plays and of findings."""
     names = {f"closest-{n}": p for n, p in enumerate(summary.closest, 1)}
     names |= {f"finding-{p.trial.number}": p for p in summary.findings}
     for name, played in names.items():
-        text = write_day(played.trial.day, describe(played))
+        text = write_day(played.trial.day, describe_result(played))
         (folder / f"{name}.toml").write_text(text)
     document = summary._asdict() | {
         "findings": [each.trial.number for each in summary.findings],
@@ -74,13 +74,13 @@
         f"{len(summary.findings)} findings",
         f"first play beyond the bound of {summary.rules[0]!r}: "
         f"{summary.first or 'none'}",
-        *(f"closest: {describe(each)}" for each in summary.closest),
-        *(f"finding: {describe(each)}" for each in summary.findings),
+        *(f"closest: {describe_result(each)}" for each in summary.closest),
+        *(f"finding: {describe_result(each)}" for each in summary.findings),
     ]
     return "\n".join(lines) + "\n"
 
 
-def describe(played: Played) -> str:
+def describe_result(played: TrialResult) -> str:
     """Return a play in one line, as a comment in a day's file has to be."""
     trial, play = played
     line = f"play {trial.number}, day {trial.day.name}, seed {trial.day.seed}"
@@ -91,7 +91,7 @@
     return " ".join((line + "; ".join(play.told)).split())
 
 
-def _make_row(played: Played) -> dict[str, Any]:
+def _make_row(played: TrialResult) -> dict[str, Any]:
     trial = played.trial._asdict()
     trial |= {"day": played.trial.day.name, "seed": played.trial.day.seed}
     return trial | played.play._asdict()
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -11,14 +11,14 @@
 import click
 
 from soak.callers import Callers
-from soak.disturbance import Step, carry_out, plan_steps
+from soak.faults import PlannedFault, inject_faults, plan_faults
 from soak.promises import (
+    check_applied_in_time,
     check_attempts,
-    check_calm,
     check_configuration,
+    check_draining,
     check_duties,
-    check_in_force,
-    check_leaving,
+    check_recovery,
 )
 from soak.record import Finding
 from soak.system import SoakSystem
@@ -50,7 +50,7 @@
     """What one seed gave."""
 
     seed: int
-    steps: list[Step]
+    steps: list[PlannedFault]
     outcomes: Counter[str]
     findings: list[Finding]
 
@@ -58,20 +58,20 @@
 async def play(seed: int, options: Options, keep: Path) -> Result:
     """Play one seed; logs are kept if something did not hold."""
     rng = Random(seed)
-    steps = plan_steps(rng, options.seconds, options.pause)
+    steps = plan_faults(rng, options.seconds, options.pause)
     async with SoakSystem(options.gateways, options.runners) as system:
         callers = Callers(system, rng)
         calling = asyncio.create_task(callers.run(options.callers))
-        await carry_out(system, steps)
+        await inject_faults(system, steps)
         await asyncio.sleep(SETTLE_SECONDS)
         callers.stop()
         await calling
         findings = check_attempts(system, callers.attempts)
-        findings += check_leaving(system)
+        findings += check_draining(system)
         findings += check_configuration(callers)
-        findings += check_in_force(system, callers)
+        findings += check_applied_in_time(system, callers)
         findings += check_duties(system)
-        findings += await check_calm(system, callers)
+        findings += await check_recovery(system, callers)
         if findings:
             _keep(system, seed, findings, keep)
     outcomes = Counter(
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -7,16 +7,16 @@
 from lagoonpost.http.client import CallFailedError, Client, Stream
 from lagoonpost.http.message import Address, Response
 from lagoonpost_standins.deployment import make_caller_headers
-from lagoonpost_standins.forwarded import make_event
-from soak.record import KINDS, Attempt, CallKind, Probe
-from soak.system import EVENTS, SoakSystem
+from lagoonpost_standins.runner import make_event
+from soak.record import CALL_KINDS, Attempt, CallKind, Probe
+from soak.system import STREAM_EVENTS, SoakSystem
 
 DEADLINE_SECONDS = {"book": 2.0, "check": 2.0, "draft": 4.0, "reply": 3.0}
-PATIENCE_SECONDS = 2.0
+EXTRA_WAIT_SECONDS = 2.0
 """How long callers listen beyond their deadline, to see what comes late."""
 PAUSE_SECONDS = 0.15
 """Mean pause of a caller between two attempts."""
-PROBE_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 """Pause between looks at which configuration is in force."""
 _METHODS: dict[CallKind, str] = {
     "book": "POST",
@@ -56,7 +56,7 @@
     async def _call_on(self) -> None:
         client = Client()
         while not self._stopping:
-            kind = self._rng.choice(KINDS)
+            kind = self._rng.choice(CALL_KINDS)
             gateway = self._rng.randrange(len(self._system.gateways))
             attempt = await self.call(client, kind, gateway)
             self.attempts.append(attempt)
@@ -86,7 +86,7 @@
             due=sent + deadline,
         )
         try:
-            async with asyncio.timeout(deadline + PATIENCE_SECONDS):
+            async with asyncio.timeout(deadline + EXTRA_WAIT_SECONDS):
                 stream = await client.open(
                     self._system.entries[gateway],
                     _METHODS[kind],
@@ -110,12 +110,12 @@
             for gateway in range(len(self._system.gateways)):
                 for version in self._system.recent_versions():
                     await self._probe(client, gateway, version)
-            await asyncio.sleep(PROBE_SECONDS)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
         client.close()
 
     async def _probe(self, client: Client, gateway: int, version: int) -> None:
         run, at = self._system.runs[gateway], time.monotonic()
-        status = await ask_for_route(
+        status = await probe_route(
             client, self._system.entries[gateway], version
         )
         if status in (200, 404) and run == self._system.runs[gateway]:
@@ -123,7 +123,7 @@
             self.probes.append(probe)
 
 
-async def ask_for_route(client: Client, entry: Address, version: int) -> int:
+async def probe_route(client: Client, entry: Address, version: int) -> int:
     """Return the status at the route that a version added; 0 for none."""
     headers = make_caller_headers(f"probe-{time.monotonic_ns()}", 0.5)
     try:
@@ -159,7 +159,7 @@
         return f"signature {signature!r}"
     if kind in ("draft", "reply"):
         expected = b"".join(
-            make_event(path, number) for number in range(1, EVENTS + 1)
+            make_event(path, number) for number in range(1, STREAM_EVENTS + 1)
         )
     else:
         body = "{}" if _METHODS[kind] == "POST" else ""
--- a/soak/disturbance.py
+++ b/soak/faults.py
@@ -7,26 +7,26 @@
 from random import Random
 from typing import NamedTuple, get_args
 
-from lagoonpost_standins.forwarded import RunnerFault
 from lagoonpost_standins.rows import Outage
-from soak.proxy import Harm, Proxy
+from lagoonpost_standins.runner import RunnerFault
+from soak.proxy import LinkFault, Proxy
 from soak.record import Span
-from soak.system import DRAIN_SECONDS, Runner, SoakSystem
+from soak.system import DRAIN_SECONDS, RunnerSlot, SoakSystem
 
-FIRST_SECONDS = 0.5
+QUIET_START_SECONDS = 0.5
 """Time without disturbance at the start."""
-LONGEST_SECONDS = 3.0
+MAX_FAULT_SECONDS = 3.0
 """Longest disturbance: longer than most time-outs of the gateways."""
-OUTAGE_FACTOR = 3.0
+OUTAGE_DURATION_FACTOR = 3.0
 """How much longer than others outages of the store last: some of them are to
 hold several of the gateways' calls."""
-STOP_SECONDS = 12.0
+STOP_TIMEOUT_SECONDS = 12.0
 """Longest wait for a gateway that was told to stop: its grace and half."""
-RESTART_SECONDS = 0.5
+RESTART_DELAY_SECONDS = 0.5
 """Pause after which the platform starts a process again."""
-EARLY_SECONDS = 0.5
+INTERPRETER_START_SECONDS = 0.5
 """Longest start of the interpreter, before the gateway's first line."""
-_HARMS: tuple[Harm, ...] = (
+_HARMS: tuple[LinkFault, ...] = (
     "delay",
     "reset",
     "one_way",
@@ -40,7 +40,7 @@
 """What runners do wrong; crashes are disturbances of their own."""
 
 
-class Step(NamedTuple):
+class PlannedFault(NamedTuple):
     """One disturbance to come.
 
     Attributes:
@@ -53,10 +53,12 @@
     at: float
     what: str
     seconds: float
-    draw: int
+    seed: int
 
 
-def plan_steps(rng: Random, seconds: float, pause: float) -> list[Step]:
+def plan_faults(
+    rng: Random, seconds: float, pause: float
+) -> list[PlannedFault]:
     """Draw the disturbances of one soak.
 
     Args:
@@ -65,16 +67,16 @@
         pause: Mean pause between two; the shorter, the more overlap.
     """
     steps = []
-    at = FIRST_SECONDS
-    while at < seconds - LONGEST_SECONDS:
-        what = rng.choice(sorted(ACTIONS))
-        lasts = rng.uniform(0.2, LONGEST_SECONDS)
-        steps.append(Step(at, what, lasts, rng.randrange(1 << 30)))
+    at = QUIET_START_SECONDS
+    while at < seconds - MAX_FAULT_SECONDS:
+        what = rng.choice(sorted(FAULT_ACTIONS))
+        lasts = rng.uniform(0.2, MAX_FAULT_SECONDS)
+        steps.append(PlannedFault(at, what, lasts, rng.randrange(1 << 30)))
         at += rng.expovariate(1 / pause)
     return steps
 
 
-async def carry_out(system: SoakSystem, steps: list[Step]) -> None:
+async def inject_faults(system: SoakSystem, steps: list[PlannedFault]) -> None:
     """Do all steps at their times, and end what they began."""
     started = time.monotonic()
     async with asyncio.TaskGroup() as group:
@@ -82,35 +84,37 @@
             group.create_task(_carry_out(system, step, started))
 
 
-async def _carry_out(system: SoakSystem, step: Step, started: float) -> None:
+async def _carry_out(
+    system: SoakSystem, step: PlannedFault, started: float
+) -> None:
     await asyncio.sleep(max(0.0, started + step.at - time.monotonic()))
     begin = time.monotonic()
-    whom = await ACTIONS[step.what](system, step, Random(step.draw))
+    whom = await FAULT_ACTIONS[step.what](system, step, Random(step.seed))
     system.spans.append(Span(step.what, whom, begin, time.monotonic()))
 
 
-async def _harm(proxy: Proxy, step: Step, rng: Random) -> None:
-    proxy.harm(rng.choice(_HARMS))
+async def _harm(proxy: Proxy, step: PlannedFault, rng: Random) -> None:
+    proxy.set_fault(rng.choice(_HARMS))
     await asyncio.sleep(step.seconds)
-    proxy.harm("none")
+    proxy.set_fault("none")
 
 
 # Gateways
 
 
-async def _kill(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _kill(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     number = rng.randrange(len(system.gateways))
     process = system.gateways[number]
     if process.is_running():
         process.send(signal.SIGKILL)
-        await asyncio.to_thread(process.wait, STOP_SECONDS)
+        await asyncio.to_thread(process.wait, STOP_TIMEOUT_SECONDS)
         await asyncio.sleep(step.seconds / 2)
         if not process.is_running():
             system.start_gateway(number)
     return process.name
 
 
-async def _herd(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _herd(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Kill half of the gateways at once."""
     numbers = rng.sample(
         range(len(system.gateways)), max(1, len(system.gateways) // 2)
@@ -124,19 +128,19 @@
     return "half"
 
 
-async def _stop(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _stop(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Stop a gateway as planned and start it again."""
     number = rng.randrange(len(system.gateways))
     process = system.gateways[number]
     if process.is_running():
         process.send(signal.SIGTERM)
-        await asyncio.to_thread(process.wait, STOP_SECONDS)
+        await asyncio.to_thread(process.wait, STOP_TIMEOUT_SECONDS)
         if not process.is_running():
             system.start_gateway(number)
     return process.name
 
 
-async def _pause(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _pause(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     process = rng.choice(system.gateways)
     process.send(signal.SIGSTOP)
     await asyncio.sleep(step.seconds)
@@ -144,7 +148,7 @@
     return process.name
 
 
-async def _reload(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _reload(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Change a gateway's settings, with or without the signal."""
     number = rng.randrange(len(system.gateways))
     path = system.settings[number]
@@ -165,9 +169,9 @@
     processes that end again; whichever ends later stays down and is found.
     """
     told = time.monotonic()
-    await asyncio.sleep(RESTART_SECONDS)
+    await asyncio.sleep(RESTART_DELAY_SECONDS)
     process = system.gateways[number]
-    early = told - system.started[number] < EARLY_SECONDS
+    early = told - system.started[number] < INTERPRETER_START_SECONDS
     if early and not process.is_running():
         system.start_gateway(number)
         now = time.monotonic()
@@ -177,22 +181,22 @@
 # The store
 
 
-async def _outage(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _outage(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Let the store fail, and often change something as it returns."""
     system.store.outage = rng.choice(_OUTAGES)
-    await asyncio.sleep(OUTAGE_FACTOR * step.seconds)
+    await asyncio.sleep(OUTAGE_DURATION_FACTOR * step.seconds)
     system.store.outage = "none"
     if rng.random() < 0.5:
         await system.configure(system.version + 1)
     return "store"
 
 
-async def _compact(system: SoakSystem, step: Step, rng: Random) -> str:
-    system.store.forget_history()
+async def _compact(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
+    system.store.compact_history()
     return "store"
 
 
-async def _drill(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _drill(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Let the store come back from an older copy, at times twice.
 
     Runners write their entries again at times of their own, and entries that
@@ -201,21 +205,23 @@
     for _ in range(rng.choice([1, 1, 2])):
         system.store.outage = rng.choice(_OUTAGES)
         await asyncio.sleep(rng.uniform(0.0, 1.0))
-        await system.store.go_back(rng.uniform(0.5, 5.0))
+        await system.store.roll_back(rng.uniform(0.5, 5.0))
         system.store.outage = "none"
     await asyncio.sleep(rng.uniform(0.0, 1.0))
     await system.write_configuration()
     return "store"
 
 
-async def _cut_store(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _cut_store(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     """Harm one gateway's way to the store."""
-    number = rng.randrange(len(system.store_links))
-    await _harm(system.store_links[number], step, rng)
+    number = rng.randrange(len(system.store_proxies))
+    await _harm(system.store_proxies[number], step, rng)
     return system.gateways[number].name
 
 
-async def _change(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _change(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Put one or some new configurations in force."""
     for _ in range(rng.choice([1, 1, 4])):
         await system.configure(system.version + 1)
@@ -226,13 +232,15 @@
 # Runners
 
 
-async def _harm_runner(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _harm_runner(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     place = rng.choice(system.runners)
     await _harm(place.proxy, step, rng)
     return place.runner.id
 
 
-async def _fault(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _fault(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     runner = rng.choice(system.runners).runner
     runner.fault = rng.choice(_FAULTS)
     await asyncio.sleep(step.seconds)
@@ -240,7 +248,7 @@
     return runner.id
 
 
-async def _crash(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _crash(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     place = _choose_ready(system, rng)
     if place is None:
         return ""
@@ -248,13 +256,13 @@
     place.state = "down"
     await place.runner.close()
     await asyncio.sleep(step.seconds)
-    await system.forget(id_)
+    await system.delete_entry(id_)
     await place.replace()
     await system.register(place)
     return id_
 
 
-async def _leave(system: SoakSystem, step: Step, rng: Random) -> str:
+async def _leave(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
     """Let a runner leave as planned; a new one takes its place."""
     place = _choose_ready(system, rng)
     if place is None:
@@ -263,13 +271,13 @@
     await system.drain(place)
     await asyncio.sleep(DRAIN_SECONDS + 1.0)
     place.state = "down"
-    await system.forget(id_)
+    await system.delete_entry(id_)
     await place.replace()
     await system.register(place)
     return id_
 
 
-def _choose_ready(system: SoakSystem, rng: Random) -> Runner | None:
+def _choose_ready(system: SoakSystem, rng: Random) -> RunnerSlot | None:
     """Return a runner that may go: another one of its service stays."""
     place = rng.choice(system.runners)
     ready = [
@@ -280,7 +288,9 @@
     return place if place in ready and len(ready) > 1 else None
 
 
-ACTIONS: dict[str, Callable[[SoakSystem, Step, Random], Awaitable[str]]] = {
+FAULT_ACTIONS: dict[
+    str, Callable[[SoakSystem, PlannedFault, Random], Awaitable[str]]
+] = {
     "change": _change,
     "compact": _compact,
     "crash": _crash,
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -5,27 +5,39 @@
 
 from lagoonpost.http.client import Client
 from lagoonpost.platform.settings import Bounds
-from lagoonpost_standins.orders import Act
-from soak.callers import Callers, ask_for_route
-from soak.record import KINDS, ONCE, Attempt, Finding, Probe, Span
+from lagoonpost_standins.cloud_api import AcceptedCall
+from soak.callers import Callers, probe_route
+from soak.record import (
+    AT_MOST_ONCE_KINDS,
+    CALL_KINDS,
+    Attempt,
+    Finding,
+    Probe,
+    Span,
+)
 from soak.system import APPLY_SECONDS, DRAIN_SECONDS, SoakSystem
 
-NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """Statuses that promise that a request has not run."""
-TOUCH_SECONDS = 3.0
+RECOVERY_SECONDS = 3.0
 """Time after a disturbance in which bounds of time are not promised."""
-LATE_SECONDS = 1.0
+DEADLINE_SLACK_SECONDS = 1.0
 """How far behind its deadline a final answer may come: what this machine may
 be slow, as all processes of a soak share it."""
-GATEWAY_SPANS = frozenset(("kill", "herd", "pause", "stop"))
-NEWS_SPANS = GATEWAY_SPANS | {"outage", "cut_store", "compact", "drill"}
+GATEWAY_FAULTS = frozenset(("kill", "herd", "pause", "stop"))
+PROPAGATION_FAULTS = GATEWAY_FAULTS | {
+    "outage",
+    "cut_store",
+    "compact",
+    "drill",
+}
 """Disturbances under which news of runners may be late."""
-RUNNER_SPANS = frozenset(("crash", "fault", "harm_runner"))
-LEAST_SERVED = 0.9
+RUNNER_FAULTS = frozenset(("crash", "fault", "harm_runner"))
+MIN_SERVED_RATIO = 0.9
 """Part of the calls that is served once all is calm again."""
-TURN_SECONDS = Bounds().lease_seconds
+MIN_HANDBACK_SECONDS = Bounds().lease_seconds
 """Time in which no holder may act, another one act and the first act again."""
-CALM_CALLS = 5
+RECOVERY_CALLS = 5
 """Calls of each kind at each gateway when all is calm again."""
 
 
@@ -40,7 +52,7 @@
     return any(
         span.what in what
         and span.begin < end
-        and span.end > begin - TOUCH_SECONDS
+        and span.end > begin - RECOVERY_SECONDS
         and (not whom or span.whom in (whom, "half", "store"))
         for span in spans
     )
@@ -54,9 +66,13 @@
     found = []
     for each in attempts:
         ran = runs.get(each.id, 0)
-        if each.kind in ONCE and ran > 1:
+        if each.kind in AT_MOST_ONCE_KINDS and ran > 1:
             found.append(Finding("at most once", f"{each} ran {ran} times"))
-        if each.status in NOT_RUN and each.kind in ONCE and ran:
+        if (
+            each.status in NOT_RUN_STATUSES
+            and each.kind in AT_MOST_ONCE_KINDS
+            and ran
+        ):
             found.append(Finding("refused is not run", f"{each} ran {ran}"))
         if each.wrong:
             found.append(Finding("its own whole answer", str(each)))
@@ -72,11 +88,11 @@
 
 
 def _is_late(system: SoakSystem, attempt: Attempt) -> bool:
-    if attempt.ended <= attempt.due + LATE_SECONDS:
+    if attempt.ended <= attempt.due + DEADLINE_SLACK_SECONDS:
         return False
     return not _near(
         system.spans,
-        GATEWAY_SPANS,
+        GATEWAY_FAULTS,
         attempt.sent,
         attempt.ended,
         _name(attempt),
@@ -98,11 +114,11 @@
         and begin < span.begin < end
         for span in system.spans
     )
-    others = GATEWAY_SPANS - {"stop"} | RUNNER_SPANS | {"leave"}
+    others = GATEWAY_FAULTS - {"stop"} | RUNNER_FAULTS | {"leave"}
     return stopped and not _near(system.spans, others, begin, end)
 
 
-def check_leaving(system: SoakSystem) -> list[Finding]:
+def check_draining(system: SoakSystem) -> list[Finding]:
     """Check that runners that leave get no new work after the bound."""
     left = {drain.runner: drain.at for drain in system.drains}
 
@@ -113,13 +129,15 @@
         # What gateways knew before a drill holds in it and after.
         known = acknowledged + DRAIN_SECONDS
         return not (
-            _near(system.spans, NEWS_SPANS - {"drill"}, acknowledged, at)
+            _near(
+                system.spans, PROPAGATION_FAULTS - {"drill"}, acknowledged, at
+            )
             or _near(system.spans, frozenset({"drill"}), acknowledged, known)
         )
 
     return [
         Finding("a leaving runner gets no new work", f"{late}")
-        for late in system.find_arrivals(is_late)
+        for late in system.find_requests(is_late)
     ]
 
 
@@ -138,7 +156,9 @@
     return found
 
 
-def check_in_force(system: SoakSystem, callers: Callers) -> list[Finding]:
+def check_applied_in_time(
+    system: SoakSystem, callers: Callers
+) -> list[Finding]:
     """Check that a newer configuration is in force once its time is over."""
     return [
         Finding("in force in time", f"{probe}")
@@ -157,10 +177,12 @@
     following = acknowledged.get(probe.version + 1, math.inf)
     if at is None or not at + APPLY_SECONDS < probe.at:
         return False
-    if following <= probe.at + LATE_SECONDS:
+    if following <= probe.at + DEADLINE_SLACK_SECONDS:
         return False
     name = f"gateway-{probe.gateway + 1}"
-    return not _near(system.spans, NEWS_SPANS, probe.at, probe.at, name)
+    return not _near(
+        system.spans, PROPAGATION_FAULTS, probe.at, probe.at, name
+    )
 
 
 def check_duties(system: SoakSystem) -> list[Finding]:
@@ -177,10 +199,10 @@
         Finding("a window has one count", f"{window}")
         for window in system.cloud.conflicts
     ]
-    return found + _check_turns(system.cloud.acts)
+    return found + _check_turns(system.cloud.accepted_calls)
 
 
-def _check_turns(acts: Sequence[Act]) -> list[Finding]:
+def _check_turns(acts: Sequence[AcceptedCall]) -> list[Finding]:
     """Check that no holder acts again soon after another one has."""
     found = []
     latest: dict[object, str] = {}
@@ -188,7 +210,11 @@
     for at, subject, holder in acts:
         before = last.get((subject, holder))
         turned = latest.get(subject, holder) != holder
-        if turned and before is not None and at < before + TURN_SECONDS:
+        if (
+            turned
+            and before is not None
+            and at < before + MIN_HANDBACK_SECONDS
+        ):
             text = f"{holder} after {at - before:.3f} s on {subject}"
             found.append(Finding("holders do not come back at once", text))
         latest[subject] = holder
@@ -196,22 +222,24 @@
     return found
 
 
-async def check_calm(system: SoakSystem, callers: Callers) -> list[Finding]:
+async def check_recovery(
+    system: SoakSystem, callers: Callers
+) -> list[Finding]:
     """Check that all is served again everywhere, by the newest version."""
     found = []
     client = Client()
     for number, entry in enumerate(system.entries):
-        status = await ask_for_route(client, entry, system.version)
+        status = await probe_route(client, entry, system.version)
         if status != 200:
             detail = f"gateway-{number + 1}: {status} at the newest route"
             found.append(Finding("in force everywhere", detail))
-        for kind in KINDS:
+        for kind in CALL_KINDS:
             calls = [
                 await callers.call(client, kind, number)
-                for _ in range(CALM_CALLS)
+                for _ in range(RECOVERY_CALLS)
             ]
             served = sum(c.status == 200 and c.whole for c in calls)
-            if served < LEAST_SERVED * CALM_CALLS:
+            if served < MIN_SERVED_RATIO * RECOVERY_CALLS:
                 detail = f"gateway-{number + 1}: {kind} {served} of {calls}"
                 found.append(Finding("served again", detail))
     client.close()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -5,7 +5,7 @@
 
 from lagoonpost.http.message import Address
 
-Harm = Literal["none", "delay", "reset", "one_way", "silent", "forgotten"]
+LinkFault = Literal["none", "delay", "reset", "one_way", "silent", "forgotten"]
 """What happens to connections: bytes come late, all are reset, answers don't
 come back, nothing passes in either direction, or those that are open now stay
 silent for good while new ones work."""
@@ -40,7 +40,7 @@
     def __init__(self, target: Address) -> None:
         self.target = target
         self.address = Address("127.0.0.1", 0)
-        self._harm: Harm = "none"
+        self._harm: LinkFault = "none"
         self._links: set[_Link] = set()
         self._changed = asyncio.Event()
         self._closed = False
@@ -55,7 +55,7 @@
         self.address = Address("127.0.0.1", int(port))
         return self.address
 
-    def harm(self, harm: Harm) -> None:
+    def set_fault(self, harm: LinkFault) -> None:
         """Do something else to connections from now on."""
         self._harm = harm
         if harm in ("reset", "forgotten"):
--- a/soak/record.py
+++ b/soak/record.py
@@ -3,8 +3,8 @@
 from typing import Literal, NamedTuple
 
 CallKind = Literal["book", "check", "draft", "reply"]
-KINDS: tuple[CallKind, ...] = ("book", "check", "draft", "reply")
-ONCE: frozenset[CallKind] = frozenset(("book", "reply"))
+CALL_KINDS: tuple[CallKind, ...] = ("book", "check", "draft", "reply")
+AT_MOST_ONCE_KINDS: frozenset[CallKind] = frozenset(("book", "reply"))
 """Kinds that may run once at most."""
 
 
--- a/soak/system.py
+++ b/soak/system.py
@@ -12,6 +12,7 @@
 from lagoonpost.http.client import CallFailedError, Client
 from lagoonpost.http.message import Address
 from lagoonpost.http.server import Server
+from lagoonpost_standins.cloud_api import CloudStandin
 from lagoonpost_standins.deployment import (
     DOMAINS,
     GatewayAddresses,
@@ -20,13 +21,12 @@
     make_route,
     make_settings,
 )
-from lagoonpost_standins.forwarded import ForwardedRunner
-from lagoonpost_standins.orders import OrderDesk
 from lagoonpost_standins.rows import RowStore
+from lagoonpost_standins.runner import RunnerStandin
 from soak.proxy import Proxy
 from soak.record import Change, Drain, Span
 
-EVENTS = 6
+STREAM_EVENTS = 6
 """Events of a stream."""
 EVENT_SECONDS = 0.05
 """Pause between events: a stream is long enough to be hit in its middle."""
@@ -34,15 +34,15 @@
 """Bound on new work for a runner that leaves."""
 APPLY_SECONDS = 2.0
 """Bound on the time until a configuration is in force."""
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 """Pause between renewals of a runner's entry; each has a time of its own."""
-LAPSE_SECONDS = 2.0
+ENTRY_TTL_SECONDS = 2.0
 """Time in which a runner's entry is gone if nobody writes it anew."""
-START_SECONDS = 40.0
+START_TIMEOUT_SECONDS = 40.0
 """Longest time for all gateways to serve; some dozens start side by side."""
 
 
-class Runner:
+class RunnerSlot:
     """One place for runners: each start there is a new one.
 
     Attributes:
@@ -55,15 +55,15 @@
         self.service = service
         self.number = number
         self.domain = DOMAINS[number % len(DOMAINS)]
-        self.past: list[ForwardedRunner] = []
+        self.previous: list[RunnerStandin] = []
         self.runner = self._make(0)
         self.proxy = Proxy(Address("127.0.0.1", 0))
         self.state = "ready"
         self.seq = 0
 
-    def _make(self, generation: int) -> ForwardedRunner:
+    def _make(self, generation: int) -> RunnerStandin:
         id_ = f"{self.service}-{self.number}.{generation}"
-        runner = ForwardedRunner(id_, EVENTS)
+        runner = RunnerStandin(id_, STREAM_EVENTS)
         runner.pause = EVENT_SECONDS
         return runner
 
@@ -75,14 +75,14 @@
     async def replace(self) -> None:
         """End the runner that is here and start a new one."""
         await self.runner.close()
-        self.past.append(self.runner)
-        self.runner = self._make(len(self.past))
+        self.previous.append(self.runner)
+        self.runner = self._make(len(self.previous))
         self.state = "ready"
         self.proxy.target = await self.runner.start()
 
-    def all(self) -> list[ForwardedRunner]:
+    def all_runners(self) -> list[RunnerStandin]:
         """Return all runners that ever were here."""
-        return [*self.past, self.runner]
+        return [*self.previous, self.runner]
 
 
 class SoakSystem:
@@ -115,10 +115,10 @@
         self._count = gateways
         self._metrics = metrics
         self.store = RowStore()
-        self.cloud = OrderDesk()
-        self.store_links: list[Proxy] = []
+        self.cloud = CloudStandin()
+        self.store_proxies: list[Proxy] = []
         self.runners = [
-            Runner(service, number)
+            RunnerSlot(service, number)
             for service in ("chat", "desk")
             for number in range(runners)
         ]
@@ -126,13 +126,13 @@
         self.runs: list[int] = []
         self.started: list[float] = []
         self.entries: list[Address] = []
-        self.collected: list[Address] = []
+        self.metrics_addresses: list[Address] = []
         self.settings: list[Path] = []
         self.drains: list[Drain] = []
         self.changes: list[Change] = []
         self.spans: list[Span] = []
         self.version = 1
-        self._strange: dict[str, float] = {}
+        self._unknown_since: dict[str, float] = {}
         self.folder = Path()
         self._exit = AsyncExitStack()
 
@@ -156,12 +156,12 @@
             link = Proxy(store_address)
             await link.start()
             self._exit.callback(link.close)
-            self.store_links.append(link)
+            self.store_proxies.append(link)
             self._add_gateway(number, link.address, cloud_address, peers)
         for number in range(self._count):
             self.start_gateway(number)
             self._exit.callback(self.gateways[number].stop)
-        beat = asyncio.create_task(self._beat())
+        beat = asyncio.create_task(self._send_heartbeats())
         self._exit.callback(beat.cancel)
         await self._wait_serving()
         return self
@@ -198,7 +198,7 @@
         arguments = ["lagoonpost.serve", "--config", str(path)]
         if self._metrics:
             collected = Address("127.0.0.1", find_port())
-            self.collected.append(collected)
+            self.metrics_addresses.append(collected)
             arguments += ["--metrics-port", str(collected.port)]
         self.gateways.append(Process(f"gateway-{number}", arguments, log))
         self.runs.append(0)
@@ -215,7 +215,7 @@
     async def _wait_serving(self) -> None:
         client = Client()
         try:
-            async with asyncio.timeout(START_SECONDS):
+            async with asyncio.timeout(START_TIMEOUT_SECONDS):
                 for entry in self.entries:
                     while not await self._serves(client, entry):  # noqa: ASYNC110
                         await asyncio.sleep(0.05)
@@ -248,21 +248,23 @@
             "op", "config", make_configuration(self.version, routes=routes)
         )
 
-    async def _lapse_entries(self) -> None:
+    async def _expire_entries(self) -> None:
         """Delete entries of runners that ended, which a copy brought back."""
         now = asyncio.get_running_loop().time()
         known = {place.runner.id for place in self.runners}
         strange = set(self.store.list_keys("servers")) - known
-        self._strange = {id_: self._strange.get(id_, now) for id_ in strange}
-        for id_, since in self._strange.items():
-            if now > since + LAPSE_SECONDS:
-                await self.forget(id_)
+        self._unknown_since = {
+            id_: self._unknown_since.get(id_, now) for id_ in strange
+        }
+        for id_, since in self._unknown_since.items():
+            if now > since + ENTRY_TTL_SECONDS:
+                await self.delete_entry(id_)
 
     def recent_versions(self) -> tuple[int, ...]:
         """Return the newest version and the one before it."""
         return tuple(v for v in (self.version - 1, self.version) if v > 0)
 
-    async def register(self, place: Runner) -> None:
+    async def register(self, place: RunnerSlot) -> None:
         """Write the entry of the runner at a place."""
         place.seq += 1
         entry = make_entry(
@@ -271,27 +273,27 @@
             place.domain,
             state=place.state,
             seq=place.seq,
-            born=len(place.past) + 1,
+            born=len(place.previous) + 1,
         )
         await self.store.put("servers", place.runner.id, entry)
 
-    async def drain(self, place: Runner) -> None:
+    async def drain(self, place: RunnerSlot) -> None:
         """Let the runner at a place say that it leaves."""
         place.state = "draining"
         await self.register(place)
         self.drains.append(Drain(place.runner.id, time.monotonic()))
 
-    async def forget(self, id_: str) -> None:
+    async def delete_entry(self, id_: str) -> None:
         """Delete a runner's entry."""
         await self.store.delete("servers", id_)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for place in self.runners:
-                await asyncio.sleep(BEAT_SECONDS / len(self.runners))
+                await asyncio.sleep(HEARTBEAT_SECONDS / len(self.runners))
                 if place.state != "down":
                     await self.register(place)
-                await self._lapse_entries()
+                await self._expire_entries()
 
     # What was seen
 
@@ -299,19 +301,19 @@
         """Return how often each attempt was begun, over all runners."""
         total: dict[str, int] = {}
         for place in self.runners:
-            for runner in place.all():
+            for runner in place.all_runners():
                 for id_, count in runner.runs.items():
                     total[id_] = total.get(id_, 0) + count
         return total
 
-    def find_arrivals(
+    def find_requests(
         self, is_late: Callable[[str, float], bool]
     ) -> list[tuple[str, str, float]]:
         """Return runner, attempt and time of requests that ran too late."""
         return [
             (runner.id, seen.request.header("attempt-id") or "", seen.at)
             for place in self.runners
-            for runner in place.all()
-            for seen in runner.seen
+            for runner in place.all_runners()
+            for seen in runner.received
             if seen.ran and is_late(runner.id, seen.at)
         ]
--- a/test/forwarding_stack.py
+++ b/test/forwarding_stack.py
@@ -13,6 +13,7 @@
 from lagoonpost.http.client import Client, Stream
 from lagoonpost.http.message import Address, Headers, Response
 from lagoonpost.http.server import Server
+from lagoonpost_standins.cloud_api import CloudStandin
 from lagoonpost_standins.deployment import (
     DOMAINS,
     HOST,
@@ -23,9 +24,8 @@
     make_route,
     make_settings,
 )
-from lagoonpost_standins.forwarded import ForwardedRunner
-from lagoonpost_standins.orders import OrderDesk
 from lagoonpost_standins.rows import RowStore
+from lagoonpost_standins.runner import RunnerStandin
 
 LOOPBACK = Address("127.0.0.1", 0)
 PATIENCE = 20.0
@@ -75,9 +75,9 @@
         duties: tuple[str, ...] = (),
     ) -> None:
         self.store = RowStore()
-        self.cloud = OrderDesk()
+        self.cloud = CloudStandin()
         self.runners = {
-            f"{service}-{number}": ForwardedRunner(f"{service}-{number}")
+            f"{service}-{number}": RunnerStandin(f"{service}-{number}")
             for service, count in (("chat", chat), ("desk", desk))
             for number in range(1, count + 1)
         }
--- a/test/lease_model.py
+++ b/test/lease_model.py
@@ -168,7 +168,7 @@
 
     def go_back(self, transactions: int) -> None:
         """Roll the store back to an older snapshot."""
-        self.table.go_back(transactions)
+        self.table.roll_back(transactions)
         self.era += 1
 
     def _learn_era(self, holder: Holder) -> None:
--- a/test/test_answer.py
+++ b/test/test_answer.py
@@ -21,14 +21,14 @@
 from lagoonpost_standins.engine import EngineStandin
 from lagoonpost_standins.engine_batch import EngineOptions
 from lagoonpost_standins.engine_fault import Faults
-from lagoonpost_standins.engine_model import answer_text
+from lagoonpost_standins.engine_model import make_text
 
 LOOPBACK = Address("127.0.0.1", 0)
 MESSAGES = [{"role": "user", "content": "rules of the market " * 30}]
 PROMPT = 121
 LENGTH = 120
 BODY = {"model": "m", "messages": MESSAGES, "max_tokens": LENGTH}
-WHOLE = answer_text(MESSAGES, LENGTH)
+WHOLE = make_text(MESSAGES, LENGTH)
 OPTIONS = EngineOptions(token_rate=400.0, prefill_rate=1e5)
 
 
--- a/test/test_comeback.py
+++ b/test/test_comeback.py
@@ -55,7 +55,7 @@
         while not self._run.ended and not self._closed.is_set():
             await asyncio.sleep(TOKEN_SECONDS)
             sent = len(self._run.events)
-            self._run.produce(1)
+            self._run.generate(1)
             yield b"".join(self._run.events[sent:])
 
 
--- a/test/test_duties.py
+++ b/test/test_duties.py
@@ -57,7 +57,7 @@
         """
 
         async def story(stack: Stack):
-            stack.cloud.lose_answers = True
+            stack.cloud.drop_responses = True
             await wait_until(lambda: bool(find_holders(stack)))
             (first,) = find_holders(stack)
             other = (first + 1) % 2
@@ -65,7 +65,7 @@
             window = int(time.time())
             await wait_until(lambda: window in stack.cloud.usage)
             await stack.gateways[first].abort()
-            stack.cloud.lose_answers = False
+            stack.cloud.drop_responses = False
             await wait_until(lambda: find_holders(stack) == [other])
             calls = len(stack.cloud.calls)
             await wait_until(lambda: len(stack.cloud.calls) > calls + 1)
@@ -91,7 +91,7 @@
             await stack.gateways[first].abort()
             # A count that arrived only after the report was made.
             stack.gateways[other]._usage.begun[window]["pottery"] = 7
-            await stack.store.go_back(60.0)
+            await stack.store.roll_back(60.0)
             await wait_until(lambda: find_holders(stack) == [other])
             again = stack.gateways[other]._duties._reported
             await wait_until(lambda: window in again)
@@ -169,7 +169,7 @@
         """
 
         async def story(stack: Stack):
-            stack.cloud.dry = True
+            stack.cloud.spot_exhausted = True
             for id_ in ("chat-1", "chat-2"):
                 await stack.register(id_, spot=True, state="draining")
             full = lambda: sum(  # noqa: E731
--- a/test/test_engine.py
+++ b/test/test_engine.py
@@ -21,7 +21,7 @@
 from lagoonpost_standins.engine import EngineStandin
 from lagoonpost_standins.engine_batch import EngineOptions
 from lagoonpost_standins.engine_fault import Faults
-from lagoonpost_standins.engine_model import answer_text
+from lagoonpost_standins.engine_model import make_text
 
 LOOPBACK = Address("127.0.0.1", 0)
 FAST = EngineOptions(token_rate=5000.0, prefill_rate=1e6)
@@ -86,7 +86,7 @@
     def test_streams_whole_deterministic_answer(self) -> None:
         async def scenario(fixture: Fixture) -> None:
             text, closing = await _read(await fixture.open())
-            assert text == answer_text(MESSAGES, 40)
+            assert text == make_text(MESSAGES, 40)
             assert closing is not None
             assert closing.finish_reason == "length"
             assert closing.usage.completion_tokens == 40
@@ -107,21 +107,21 @@
         async def scenario(fixture: Fixture) -> None:
             text, closing = await _read(await fixture.open())
             assert closing is None
-            assert text == answer_text(MESSAGES, 7)
+            assert text == make_text(MESSAGES, 7)
             rest, closing = await _read(await fixture.resume(7))
-            assert text + rest == answer_text(MESSAGES, 40)
+            assert text + rest == make_text(MESSAGES, 40)
             assert closing is not None
 
         _run(scenario, faults=Faults(cut_after=7))
 
     def test_continues_after_given_tokens_and_counts_them(self) -> None:
         async def scenario(fixture: Fixture) -> None:
-            tokens = answer_text(MESSAGES, 10).split()
+            tokens = make_text(MESSAGES, 10).split()
             text, _ = await _read(
                 await fixture.open(tuple(f"{token} " for token in tokens))
             )
-            whole = answer_text(MESSAGES, 40)
-            assert answer_text(MESSAGES, 10) + text == whole
+            whole = make_text(MESSAGES, 40)
+            assert make_text(MESSAGES, 10) + text == whole
             assert fixture.engine.counts.tokens_recomputed == 91
             assert fixture.engine.counts.tokens_generated == 30
 
@@ -171,7 +171,7 @@
             silent = asyncio.ensure_future(anext(parts))
             rest, closing = await _read(await fixture.resume(5))
             assert closing is not None
-            assert answer_text(MESSAGES, 40).endswith(rest)
+            assert make_text(MESSAGES, 40).endswith(rest)
             assert not silent.done()
             silent.cancel()
             stream.close()
--- a/test/test_era.py
+++ b/test/test_era.py
@@ -62,7 +62,7 @@
             for number in range(5):
                 await rows.put("servers", "one", {"number": number})
             before = await store.read_table(ENDPOINT_TABLE)
-            await rows.go_back(0.0)
+            await rows.roll_back(0.0)
             rows.version -= 3
             after = await store.read_table(ENDPOINT_TABLE)
             assert isinstance(before, Page)
@@ -81,7 +81,7 @@
             await rows.put("servers", "two", {})
             known = await store.read_table(ENDPOINT_TABLE)
             assert isinstance(known, Page)
-            await rows.go_back(0.5)
+            await rows.roll_back(0.5)
             for name in ("three", "four", "five"):
                 await rows.put("servers", name, {})
             answer = await store.follow_table(
@@ -99,7 +99,7 @@
             await asyncio.sleep(1.0)
             mine = await store.transact([], [Write("lease/a", "mine")])
             assert isinstance(mine, Committed)
-            await rows.go_back(0.5)
+            await rows.roll_back(0.5)
             await rows.put("lagoonpost", "lease/a", "another's")
             condition = Condition("lease/a", mine.rows[0].version)
             first = await store.transact([condition], [Write("lease/a", "x")])
@@ -235,10 +235,10 @@
                 await host.rows.put("servers", "desk-2", write_entry(number))
                 await asyncio.sleep(0.5)
             for _ in range(returns):
-                await host.rows.go_back(1.2)
+                await host.rows.roll_back(1.2)
                 await asyncio.sleep(0.3)
             if compacted:
-                host.rows.forget_history()
+                host.rows.compact_history()
             for _ in range(20):
                 await host.rows.put("status", "other", {})
             await host.rows.put("op", "config", make_configuration(6))
@@ -259,7 +259,7 @@
             await host.rows.put("op", "config", make_configuration(2))
             await asyncio.sleep(1.0)
             assert host.cluster.version == 2
-            await host.rows.go_back(5.0)
+            await host.rows.roll_back(5.0)
             seen = set()
             for _ in range(30):
                 await asyncio.sleep(0.1)
--- a/test/test_explain.py
+++ b/test/test_explain.py
@@ -205,7 +205,9 @@
             stack.set_fault("hang")
             call = asyncio.create_task(ask(stack, "/check/1"))
             runners = stack.runners.values()
-            await wait_until(lambda: any(runner.seen for runner in runners))
+            await wait_until(
+                lambda: any(runner.received for runner in runners)
+            )
             call.cancel()
             await wait_until(
                 lambda: any(runner.cancelled for runner in runners)
--- a/test/test_forwarding.py
+++ b/test/test_forwarding.py
@@ -16,7 +16,7 @@
 
 from lagoonpost.http.client import CallFailedError
 from lagoonpost.http.message import Response
-from lagoonpost_standins.forwarded import make_event
+from lagoonpost_standins.runner import make_event
 
 
 def make_stream(path: str, events: int = 5) -> bytes:
@@ -37,8 +37,8 @@
             )
             path = "/book/a%20b//c?x=1&y=%2F"
             answer = await stack.call(path, "POST", b"\x00{}", headers=headers)
-            runner = next(r for r in stack.runners.values() if r.seen)
-            return answer, runner.seen[0].request, runner.id
+            runner = next(r for r in stack.runners.values() if r.received)
+            return answer, runner.received[0].request, runner.id
 
         answer, request, runner = play(scenario)
         assert answer.status == 200
@@ -58,7 +58,7 @@
         async def scenario(stack: Stack):
             await stack.call("/check/1", deadline=2.0)
             await stack.call("/check/1", deadline=60.0)
-            seen = [s for r in stack.runners.values() for s in r.seen]
+            seen = [s for r in stack.runners.values() for s in r.received]
             return sorted(int(s.request.header("deadline-ms")) for s in seen)
 
         short, long = play(scenario)
@@ -81,11 +81,13 @@
         async def scenario(stack: Stack):
             headers = (*make_prompt(9000), ("kv-fetch", "10.0.0.1:80"))
             await stack.call("/draft/1", "POST", headers=headers)
-            seen = next(r for r in stack.runners.values() if r.seen).seen[0]
+            seen = next(
+                r for r in stack.runners.values() if r.received
+            ).received[0]
             addresses = {
                 str(runner.address)
                 for id_, runner in stack.runners.items()
-                if id_.startswith("chat") and not runner.seen
+                if id_.startswith("chat") and not runner.received
             }
             return seen.request.header("kv-fetch"), addresses
 
@@ -120,7 +122,7 @@
             return [
                 (id_.partition("-")[0], seen.request.target)
                 for id_, runner in stack.runners.items()
-                for seen in runner.seen
+                for seen in runner.received
             ]
 
         found = play(scenario, configuration=configuration)
@@ -214,10 +216,10 @@
             headers = make_prompt()
             await stack.call("/draft/1", "POST", headers=headers)
             # The next draft goes to the runner that caches its prompt.
-            used = next(r for r in stack.runners.values() if r.seen)
+            used = next(r for r in stack.runners.values() if r.received)
             used.fault = "fail"
             answer = await stack.call("/draft/1", "POST", headers=headers)
-            return answer.status, len(used.seen)
+            return answer.status, len(used.received)
 
         assert play(scenario) == (200, 2)
 
--- a/test/test_gateway_quarantine.py
+++ b/test/test_gateway_quarantine.py
@@ -36,7 +36,7 @@
 from lagoonpost.tables.request import RequestRow
 from lagoonpost_standins.engine_batch import EngineOptions
 from lagoonpost_standins.engine_fault import Faults
-from lagoonpost_standins.engine_model import answer_text
+from lagoonpost_standins.engine_model import make_text
 
 MARKER = "crash me"
 POISON = "poison"
@@ -67,7 +67,7 @@
     answer = await stack.call(
         "POST", CHAT, make_chat(prompt, TOKENS), gateway=number % 2
     )
-    expected = answer_text([{"role": "user", "content": prompt}], TOKENS)
+    expected = make_text([{"role": "user", "content": prompt}], TOKENS)
     return answer.status == 200 and expected.encode() in answer.body
 
 
--- a/test/test_migration.py
+++ b/test/test_migration.py
@@ -23,7 +23,7 @@
     is_worth_migrating,
 )
 from lagoonpost.tables.endpoint import Endpoint
-from lagoonpost_standins.forwarded import ForwardedRunner, make_event
+from lagoonpost_standins.runner import RunnerStandin, make_event
 
 EVENTS = 60
 EVENT_SECONDS = 0.05
@@ -40,13 +40,13 @@
         runner.events = EVENTS
 
 
-async def wait_for_busy_runner(stack: Stack) -> ForwardedRunner:
+async def wait_for_busy_runner(stack: Stack) -> RunnerStandin:
     runners = stack.runners.values()
     await wait_until(lambda: any(r._stopped for r in runners))
     return next(r for r in runners if r._stopped)
 
 
-async def reclaim(stack: Stack, runner: ForwardedRunner, **more: Any) -> None:
+async def reclaim(stack: Stack, runner: RunnerStandin, **more: Any) -> None:
     """Announce that a runner leaves, and close it at the announced time."""
     notice = {"spot": True, "state": "draining", "leaves_ms": 1300} | more
     await stack.register(runner.id, **notice)
@@ -142,7 +142,7 @@
             for runner in stack.runners.values():
                 runner.events = 10
             answer = await play_reclaim(stack, "/reply/1", leaves_ms=5000)
-            seen = [s for r in stack.runners.values() for s in r.seen]
+            seen = [s for r in stack.runners.values() for s in r.received]
             return answer, len(seen)
 
         answer, seen = play(scenario)
@@ -258,7 +258,7 @@
             await stack.register(
                 runner.id, spot=True, state="draining", leaves_ms=100
             )
-            await wait_until(lambda: bool(runner.freed))
+            await wait_until(lambda: bool(runner.freed_handles))
 
         play(scenario)
 
--- a/test/test_news.py
+++ b/test/test_news.py
@@ -24,7 +24,7 @@
             await wait_until(lambda: len(belief.find_runners("desk")) == 1)
             for _ in range(8):
                 await stack.call("/check/1")
-            return len(stack.runners["desk-1"].seen)
+            return len(stack.runners["desk-1"].received)
 
         assert play(story) == 0
 
@@ -80,7 +80,7 @@
             await asyncio.sleep(0.1)
             await stack.store.put("op", "config", make_configuration(7))
             await stack.store.delete("servers", "desk-1")
-            stack.store.forget_history()
+            stack.store.compact_history()
             stack.store.outage = "none"
             belief = stack.gateways[0].view
             await wait_until(lambda: belief.version == 7)
--- a/test/test_search.py
+++ b/test/test_search.py
@@ -13,11 +13,11 @@
 
 from lagoonpost.margins.duties import RETURN_BY_CALLS, RETURN_BY_LEASE
 from search.__main__ import main
-from search.changes import Mutator
-from search.choice import Chooser
 from search.day import Day, DayError, read_days, write_day
 from search.loop import Limits, search
+from search.mutation import Mutator
 from search.player import BenchPlayer, Play
+from search.selection import DaySelector
 
 UNTIL = 26.0
 RULES = (RETURN_BY_CALLS,)
@@ -25,13 +25,13 @@
 START = Day(
     "rolls",
     7,
-    troubles=(
+    events=(
         {"at": 4.0, "kind": "roll_term", "share": 0.4, "gap_s": 1.0},
         {"at": 3.0, "kind": "burst", "x": 2.5, "for_s": 2.0},
         {"at": 9.0, "kind": "scale_in", "how": "reclaim", "count": 2},
     ),
-    planned=1,
-    head={"slot": "trouble", "goal": {"floor": 0.2}, "labels": []},
+    planned_count=1,
+    other_fields={"slot": "trouble", "goal": {"floor": 0.2}, "labels": []},
 )
 
 
@@ -48,7 +48,7 @@
 
     def play(self, number: int, day: Day) -> Play:
         time.sleep(self._pause.uniform(0, self._most))
-        roll, _, reclaim = (float(each["at"]) for each in day.troubles)
+        roll, _, reclaim = (float(each["at"]) for each in day.events)
         off = abs(roll - 5.1) + abs(reclaim - 8.2)
         distance = off / 2 + Random(day.seed).uniform(-0.7, 1.0)
         return Play({RETURN_BY_CALLS: distance} if distance < 1.6 else {})
@@ -61,8 +61,8 @@
         return super().play(number, day)
 
 
-def make_chooser(seed: int, even: bool = False) -> Chooser:
-    return Chooser([START], RULES, Mutator([START], UNTIL), seed, even)
+def make_chooser(seed: int, even: bool = False) -> DaySelector:
+    return DaySelector([START], RULES, Mutator([START], UNTIL), seed, even)
 
 
 def count_plays(seed: int, even: bool) -> int:
@@ -84,9 +84,9 @@
         rng, file = Random(seed), tmp_path / "day.toml"
         starts = [START, *(day for file in DAYS for day in read_days(file))]
         mutator = Mutator(starts, UNTIL)
-        day = mutator.scatter(rng, rng.choice(starts)).day
+        day = mutator.randomize(rng, rng.choice(starts)).day
         for _ in range(100):
-            day = mutator.change(rng, day).day
+            day = mutator.mutate(rng, day).day
             file.write_text(write_day(day, "a comment"))
             assert read_days(file) == [day]
 
@@ -94,14 +94,14 @@
         """All but one of the parts of a day are what they were."""
         rng, mutator = Random(3), Mutator([START], UNTIL)
         for _ in range(100):
-            changed = mutator.change(rng, START)
+            changed = mutator.mutate(rng, START)
             parts = zip(
-                [START.seed, *START.troubles],
-                [changed.day.seed, *changed.day.troubles],
+                [START.seed, *START.events],
+                [changed.day.seed, *changed.day.events],
                 strict=True,
             )
             differ = sum(before != after for before, after in parts)
-            assert differ <= (2 if " and " in changed.what else 1)
+            assert differ <= (2 if " and " in changed.description else 1)
 
 
 class TestLead:
--- a/test/test_shift.py
+++ b/test/test_shift.py
@@ -182,8 +182,8 @@
     def test_a_good_version_takes_over(self):
         async def story(stack: Stack):
             state, _ = await self.move(stack)
-            seen = [len(stack.runners[id_].seen) for id_ in NEW]
-            old = [len(stack.runners[id_].seen) for id_ in OLD]
+            seen = [len(stack.runners[id_].received) for id_ in NEW]
+            old = [len(stack.runners[id_].received) for id_ in OLD]
             await self.send(stack, [])
             return state, min(seen), min(old)
 
@@ -213,11 +213,11 @@
                 await wait_until(
                     lambda g=group: {each.id for each in g()} == set(OLD)
                 )
-            tried = sum(len(stack.runners[id_].seen) for id_ in NEW)
+            tried = sum(len(stack.runners[id_].received) for id_ in NEW)
             for gateway in (0, 1):
                 for _ in range(10):
                     await stack.call("/check/1", gateway=gateway)
-            after = sum(len(stack.runners[id_].seen) for id_ in NEW)
+            after = sum(len(stack.runners[id_].received) for id_ in NEW)
             return state, tried, after
 
         state, tried, after = play(
@@ -335,7 +335,7 @@
             await asyncio.sleep(1.0)
             self.take_back()
             await self.shifts.advance([], store)
-            await rows.go_back(0.5)
+            await rows.roll_back(0.5)
             await store.read_status("rollout/chat")
             await self.shifts.advance([], store)
             return str(rows.get("status", "rollout/chat")["state"])
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -9,26 +9,26 @@
 from played_loop import play_time
 
 from lagoonpost.http.message import Address, Request
-from lagoonpost_standins.forwarded import Seen
-from lagoonpost_standins.orders import Act
+from lagoonpost_standins.cloud_api import AcceptedCall
+from lagoonpost_standins.runner import ReceivedRequest
 from soak.__main__ import Options, play
 from soak.callers import Callers
-from soak.disturbance import ACTIONS, Step, plan_steps
+from soak.faults import FAULT_ACTIONS, PlannedFault, plan_faults
 from soak.promises import (
+    check_applied_in_time,
     check_attempts,
     check_configuration,
+    check_draining,
     check_duties,
-    check_in_force,
-    check_leaving,
 )
 from soak.proxy import Proxy
 from soak.record import Attempt, Change, Drain, Probe, Span
-from soak.system import BEAT_SECONDS, LAPSE_SECONDS, SoakSystem
+from soak.system import ENTRY_TTL_SECONDS, HEARTBEAT_SECONDS, SoakSystem
 
 SMALL = Options(gateways=3, runners=2, callers=6, seconds=8.0, pause=0.7)
 USUAL = Options(gateways=4, runners=3, callers=12, seconds=14.0, pause=0.8)
 LONG = Options(gateways=4, runners=3, callers=12, seconds=20.0, pause=2.5)
-DRILL = Step(0.0, "drill", 1.0, 1)
+DRILL = PlannedFault(0.0, "drill", 1.0, 1)
 GOOD = Attempt("a", "book", 0, 1, 10.0, 10.1, 200, True, "", 12.0)
 
 
@@ -79,21 +79,21 @@
         runner = system.runners[0].runner
         system.drains.append(Drain(runner.id, 100.0))
         request = Request("GET", "/check/1", "", (), b"", "here")
-        runner.seen.append(Seen(request, True, 101.0))
-        assert check_leaving(system) == []
-        runner.seen.append(Seen(request, True, 102.5))
-        assert len(check_leaving(system)) == 1
+        runner.received.append(ReceivedRequest(request, True, 101.0))
+        assert check_draining(system) == []
+        runner.received.append(ReceivedRequest(request, True, 102.5))
+        assert len(check_draining(system)) == 1
 
     def test_work_for_a_runner_whose_leaving_a_drill_took_back(self, system):
         """Guards against a copy that lets a leaving runner have new work."""
         runner = system.runners[0].runner
         system.drains.append(Drain(runner.id, 100.0))
         request = Request("GET", "/check/1", "", (), b"", "here")
-        runner.seen.append(Seen(request, True, 103.0))
+        runner.received.append(ReceivedRequest(request, True, 103.0))
         system.spans.append(Span("drill", "store", 102.5, 103.0))
-        assert len(check_leaving(system)) == 1
+        assert len(check_draining(system)) == 1
         system.spans.append(Span("drill", "store", 101.5, 103.0))
-        assert check_leaving(system) == []
+        assert check_draining(system) == []
 
     def test_duties_of_two_holders(self, system):
         """Guards against a lease that is given out again after a drill."""
@@ -127,16 +127,16 @@
             Probe(0, 1, 29.5, 7, False),
             Probe(0, 1, 33.0, 7, False),
         ]
-        assert check_in_force(system, callers) == []
+        assert check_applied_in_time(system, callers) == []
         callers.probes.append(Probe(0, 1, 20.0, 7, False))
-        assert len(check_in_force(system, callers)) == 1
+        assert len(check_applied_in_time(system, callers)) == 1
         system.spans.append(Span("outage", "store", 9.0, 17.5))
-        assert check_in_force(system, callers) == []
+        assert check_applied_in_time(system, callers) == []
 
 
 class TestPlan:
     def test_a_seed_always_gives_the_same_steps(self):
-        plans = [plan_steps(Random(5), 14.0, 0.8) for _ in range(2)]
+        plans = [plan_faults(Random(5), 14.0, 0.8) for _ in range(2)]
         assert plans[0] == plans[1]
         assert any(
             one.at + one.seconds > other.at
@@ -146,14 +146,16 @@
     def test_duties_that_go_to_and_fro(self, system):
         """Guards against a holder that is back at once after another one."""
         usage, order = ("/usage", "", ""), ("/scale", "chat", "domain-a")
-        system.cloud.acts = [
-            Act(1.0, usage, "gateway-1"),
-            Act(2.0, usage, "gateway-2"),
-            Act(3.9, order, "gateway-1"),
-            Act(4.1, usage, "gateway-1"),
+        system.cloud.accepted_calls = [
+            AcceptedCall(1.0, usage, "gateway-1"),
+            AcceptedCall(2.0, usage, "gateway-2"),
+            AcceptedCall(3.9, order, "gateway-1"),
+            AcceptedCall(4.1, usage, "gateway-1"),
         ]
         assert check_duties(system) == []
-        system.cloud.acts.append(Act(4.9, usage, "gateway-2"))
+        system.cloud.accepted_calls.append(
+            AcceptedCall(4.9, usage, "gateway-2")
+        )
         assert len(check_duties(system)) == 1
 
 
@@ -166,18 +168,18 @@
             await system.configure(1)
             await store.put("servers", "ended", {})
             await asyncio.sleep(10.0)
-            await system.forget("ended")
+            await system.delete_entry("ended")
             await system.configure(2)
             drill = asyncio.create_task(
-                ACTIONS["drill"](system, DRILL, Random(DRILL.draw))
+                FAULT_ACTIONS["drill"](system, DRILL, Random(DRILL.seed))
             )
             await wait_until(lambda: store.era == 1)
             assert store.get("op", "config")["version"] == 1
             assert store.list_keys("servers") == ["ended"]
-            beat = asyncio.create_task(system._beat())
+            beat = asyncio.create_task(system._send_heartbeats())
             await drill
             assert store.get("op", "config")["version"] == 2
-            await asyncio.sleep(LAPSE_SECONDS + BEAT_SECONDS)
+            await asyncio.sleep(ENTRY_TTL_SECONDS + HEARTBEAT_SECONDS)
             names = sorted(place.runner.id for place in system.runners)
             assert sorted(store.list_keys("servers")) == names
             beat.cancel()
@@ -200,13 +202,13 @@
                 entry.host, entry.port
             )
             await wait_until(lambda: bool(proxy._links))
-            proxy.harm(harm)
+            proxy.set_fault(harm)
             writer.write(b"bytes")
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await reader.read(10)
             if harm != "forgotten":
-                proxy.harm("none")
+                proxy.set_fault("none")
                 assert await reader.read(10) == b"bytes"
             proxy.close()
             server.close()
