--- a/lagoonpost_standins/__init__.py
+++ b/lagoonpost_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, able to fail on order."""
+"""In-memory stand-ins for external systems, with fault injection."""
--- a/lagoonpost_standins/cloud.py
+++ b/lagoonpost_standins/cloud.py
@@ -1,4 +1,4 @@
-"""Hosts of the stand-in platform: bought, released and listed late."""
+"""Hosts of the stand-in platform, with an eventually consistent list."""
 
 import time
 from typing import Any, NamedTuple
@@ -10,7 +10,12 @@
 
 
 class Cloud:
-    """Live hosts, with a list that shows them as they were a while ago."""
+    """Starts and stops hosts; lists them with a configurable delay.
+
+    Attributes:
+        lag: Seconds by which `list_hosts` is out of date.
+        notices: Reclaim notices, oldest first.
+    """
 
     def __init__(self) -> None:
         self.lag = 0.0
@@ -19,21 +24,21 @@
         self._bought = 0
 
     def buy(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Start a host as ordered and return it with its name."""
+        """Start a host with the ordered properties and return it, named."""
         self._bought += 1
         host = {**order, "name": f"host-{self._bought}", "state": "live"}
         self._change({**self._now(), host["name"]: host})
         return host
 
     def release(self, name: str) -> bool:
-        """Stop a host; False if there is none of this name."""
+        """Stop a host; return False if no host has this name."""
         hosts = dict(self._now())
         found = hosts.pop(name, None) is not None
         self._change(hosts)
         return found
 
     def list_hosts(self) -> list[dict[str, Any]]:
-        """Return the hosts as they were ``lag`` seconds ago."""
+        """Return the hosts that existed ``lag`` seconds ago."""
         then = time.monotonic() - self.lag
         shown = self._changes[0]
         for change in self._changes:
--- a/lagoonpost_standins/cloud_api.py
+++ b/lagoonpost_standins/cloud_api.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' cloud: usage reports and orders under a fence."""
+"""Stand-in for the cloud's API: usage reports and scaling orders."""
 
 import time
 from typing import Any, NamedTuple
@@ -10,12 +10,13 @@
 
 
 class AcceptedCall(NamedTuple):
-    """A call that was accepted.
+    """An accepted call.
 
     Attributes:
-        at: When, by the steady clock.
-        subject: What it is about: calls on one subject have one holder.
-        holder: Who made it.
+        at: Time of the call, in seconds of the monotonic clock.
+        subject: Path, service and failure domain of the call. One lease
+            holder at a time may make calls for a subject.
+        holder: Lease holder that made the call.
     """
 
     at: float
@@ -24,16 +25,17 @@
 
 
 class CloudStandin:
-    """Takes calls, refuses old fencing numbers, and remembers all.
+    """Records all calls and rejects those with an old fencing token.
 
     Attributes:
-        usage: Counts by window, as first accepted.
-        conflicts: Windows that were reported twice with other counts.
-        orders: Number ordered by service, failure domain and tenure.
-        calls: All calls: path, holder, fencing number and outcome.
-        acts: Those that were accepted, in order.
-        dry: Whether reclaimable runners are not to be had.
-        lose_answers: Whether calls are carried out and not answered.
+        usage: Usage counts by window, as first accepted.
+        conflicts: Windows reported again with different counts.
+        orders: Desired number of runners by service, failure domain and
+            whether they are reclaimable.
+        calls: Path, holder, fencing token and status of each call.
+        accepted_calls: Accepted calls, in order.
+        spot_exhausted: Whether orders for reclaimable runners fail.
+        drop_responses: Whether to apply calls without answering them.
     """
 
     def __init__(self) -> None:
@@ -51,23 +53,23 @@
         call = msgspec.json.decode(request.body)
         holder = request.header("duty-holder") or ""
         fence = int(request.header("fence-token") or 0)
-        status = self._take(request.path, call, fence)
+        status = self._apply(request.path, call, fence)
         self.calls.append((request.path, holder, fence, status))
         if status == 200:
-            subject = _name_subject(request.path, call)
+            subject = _find_subject(request.path, call)
             self.accepted_calls.append(
                 AcceptedCall(time.monotonic(), subject, holder)
             )
         if not self.drop_responses:
             await responder.send(Response(status))
 
-    def _take(self, path: str, call: dict[str, Any], fence: int) -> int:
-        subject = _name_subject(path, call)
+    def _apply(self, path: str, call: dict[str, Any], fence: int) -> int:
+        subject = _find_subject(path, call)
         if fence < self._fences.get(subject, 0):
             return 409
         self._fences[subject] = fence
         if path == "/usage":
-            self._take_usage(call["window_id"], call["counts"])
+            self._record_usage(call["window_id"], call["counts"])
             return 200
         spot = bool(call.get("spot"))
         if spot and self.spot_exhausted and call["desired_count"]:
@@ -76,10 +78,10 @@
         self.orders[key] = call["desired_count"]
         return 200
 
-    def _take_usage(self, window: int, counts: dict[str, int]) -> None:
+    def _record_usage(self, window: int, counts: dict[str, int]) -> None:
         if self.usage.setdefault(window, counts) != counts:
             self.conflicts.append(window)
 
 
-def _name_subject(path: str, call: dict[str, Any]) -> tuple[str, str, str]:
+def _find_subject(path: str, call: dict[str, Any]) -> tuple[str, str, str]:
     return path, call.get("service", ""), call.get("zone", "")
--- a/lagoonpost_standins/deployment.py
+++ b/lagoonpost_standins/deployment.py
@@ -1,4 +1,4 @@
-"""What operators and the platform write for a small deployment."""
+"""Builders for the configuration and settings of a small deployment."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
@@ -11,7 +11,14 @@
 
 
 class GatewayAddresses(NamedTuple):
-    """Where one gateway listens."""
+    """Addresses on which one gateway listens.
+
+    Attributes:
+        entry: For callers.
+        ready: For readiness checks.
+        directory: For directory queries.
+        peer: For gossip with other gateways.
+    """
 
     entry: Address
     ready: Address
@@ -20,7 +27,7 @@
 
 
 def make_route(name: str, kind: str, service: str, **more: Any) -> Any:
-    """Return a route of the configuration as it is written."""
+    """Return a route of the configuration; ``more`` overrides fields."""
     return {
         "name": name,
         "host": HOST,
@@ -36,7 +43,7 @@
 
 
 def make_configuration(version: int = 1, **more: Any) -> dict[str, Any]:
-    """Return a configuration as operators write it."""
+    """Return a configuration; ``more`` overrides its fields."""
     return {
         "version": version,
         "routes": [
@@ -58,7 +65,7 @@
 def make_entry(
     service: str, address: Address, domain: str, **more: Any
 ) -> dict[str, Any]:
-    """Return a runner's entry as it is written."""
+    """Return a runner's entry for the store; ``more`` overrides fields."""
     return {
         "service": service,
         "address": str(address),
@@ -82,10 +89,20 @@
     bounds: Mapping[str, Any] | None = None,
     duties: Sequence[str] = (),
 ) -> str:
-    """Return the settings file of the gateway with this number."""
+    """Return the text of a gateway's settings file.
+
+    Args:
+        number: Number of the gateway, from 1.
+        addresses: Addresses on which it listens.
+        store: Address of the metadata store.
+        cloud: Address of the cloud's API.
+        seeds: Peers with which it starts to gossip.
+        bounds: Settings of the ``[bounds]`` section.
+        duties: Duties for which it competes.
+    """
     bound_lines = "\n".join(f"{k} = {v}" for k, v in (bounds or {}).items())
-    duty_words = ", ".join(f'"{each}"' for each in duties)
-    seed_words = ", ".join(f'"{each}"' for each in seeds)
+    duty_words = ", ".join(f'"{duty}"' for duty in duties)
+    seed_words = ", ".join(f'"{seed}"' for seed in seeds)
     return f"""
 node_name = "gateway-{number}"
 zone = "{DOMAINS[(number - 1) % 3]}"
@@ -119,14 +136,14 @@
     prompt: int = 0,
     last_event: int = 0,
 ) -> Headers:
-    """Return a caller's headers.
+    """Return the headers of a caller's request.
 
     Args:
         attempt: Id of the attempt.
-        deadline: Seconds for which the caller waits.
-        key: Key that it shows, if any.
-        prompt: Prompt tokens of a request to a model; 0 for a plain one.
-        last_event: Number of the last event that it has.
+        deadline: Seconds until the caller's deadline.
+        key: API key; None for an anonymous request.
+        prompt: Prompt tokens of a model request; 0 for a plain request.
+        last_event: Last event that the caller received, to resume a stream.
     """
     headers: Headers = (
         ("host", HOST),
--- a/lagoonpost_standins/engine.py
+++ b/lagoonpost_standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in model engine: HTTP, server-sent events, faults on order."""
+"""Stand-in model engine: HTTP, server-sent events, fault injection."""
 
 import asyncio
 import os
@@ -18,12 +18,18 @@
 
 
 def _crash_process() -> None:
-    # A crash runs no clean-up: that is what the product has to stand.
+    # Skips all clean-up, as a real crash does.
     os._exit(CRASH_STATUS)
 
 
 class EngineStandin:
-    """The stand-in engine; ``crash`` replaces the death of the process."""
+    """A model engine that listens on one address.
+
+    Args:
+        name: Name that the engine reports.
+        options: Behavior without faults.
+        crash: Called by crash faults instead of ending the process.
+    """
 
     def __init__(
         self,
@@ -38,20 +44,20 @@
 
     @property
     def counts(self) -> Counts:
-        """What the engine did so far."""
+        """Counters of the engine's work so far."""
         return self.state.batch.counts
 
     def set_faults(self, faults: Faults) -> None:
-        """Replace the faults in force."""
+        """Replace all injected faults."""
         self.state.set_faults(faults)
 
     async def start(self, listen: Address) -> Address:
-        """Listen, generate, and return the bound address."""
+        """Start to listen and generate; return the bound address."""
         self._loop = asyncio.create_task(self.state.batch.run())
         return await self._server.start(listen)
 
     async def close(self, grace: float = 0.0) -> None:
-        """Stop; connections that are open after ``grace`` s are cut."""
+        """Stop; cut connections still open after ``grace`` seconds."""
         await self._server.close(grace)
         if self._loop is not None:
             self._loop.cancel()
--- a/lagoonpost_standins/engine_batch.py
+++ b/lagoonpost_standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's answers and the loop that generates them."""
+"""Answers of the stand-in engine and the batching loop."""
 
 import asyncio
 import heapq
@@ -17,25 +17,25 @@
 
 MIN_STEP_SECONDS = 0.004
 MAX_STEP_SECONDS = 0.02
-# A thawed process does not catch up on the tokens of its frozen time.
+# After SIGCONT, the process does not generate the tokens of its pause.
 MAX_ELAPSED_SECONDS = 0.1
 
 
 class EngineOptions(NamedTuple):
-    """How the stand-in engine behaves without faults.
+    """Behavior of the stand-in engine without faults.
 
     Attributes:
-        token_rate: Tokens a second of each running answer.
-        prefill_rate: Tokens a second prefilled, shared by all.
-        slots: Answers that run side by side.
-        cache_tokens: Memory of the prefix cache in tokens.
+        token_rate: Tokens per second generated for each running answer.
+        prefill_rate: Tokens per second prefilled, shared by all answers.
+        slots: Maximum number of answers that run concurrently.
+        cache_tokens: Capacity of the prefix cache in tokens.
         kv_bytes: Bytes of exported KV cache per token.
-        export_rate: Bytes a second of an export; 0 for no limit.
-        keep_seconds: Time that an answer lives on without a connection.
-        report_seconds: Lag of the load report.
-        checks_fence: Whether orders with an old fencing number fail.
+        export_rate: Bytes per second of an export; 0 for no limit.
+        keep_seconds: Time to keep an answer that has no connection.
+        report_seconds: Maximum age of the load report.
+        checks_fence: Whether to reject orders with an old fencing token.
         load_seconds: Time to load a version.
-        versions: Versions loaded at the start; empty for any.
+        versions: Versions loaded at the start; empty to serve any.
     """
 
     token_rate: float = 50.0
@@ -52,7 +52,19 @@
 
 
 class Answer:
-    """One answer: its tokens so far and who waits for more."""
+    """One answer: its tokens and events so far, and its readers.
+
+    Attributes:
+        length: Number of tokens of the whole answer.
+        resumed_tokens: Number of tokens that the request brought along.
+        events: Encoded server-sent events, one per token and one at the end.
+        prefill_left: Prompt tokens still to prefill.
+        token_credit: Fraction of a token carried over to the next step.
+        readers: Number of open connections.
+        attempts: Attempts that opened a connection, oldest first.
+        unread_since: Loop time at which the last connection closed.
+        new_events: Set when events are added, then replaced.
+    """
 
     def __init__(self, request_id: str, body: dict[str, object]) -> None:
         messages = body.get("messages")
@@ -83,32 +95,32 @@
         self.new_events = asyncio.Event()
 
     def record_attempt(self, attempt: str) -> None:
-        """Note who reads; one that read before doesn't come to be last."""
+        """Add an attempt; one already known keeps its position."""
         if attempt not in self.attempts:
             self.attempts.append(attempt)
 
     def can_be_canceled_by(self, attempt: str) -> bool:
-        """Tell whether a cancel ends it; one without a name always does."""
+        """Return whether this attempt is the newest, or is not named."""
         return not attempt or attempt == self.attempts[-1]
 
     def has_valid_prefix(self) -> bool:
-        """Tell whether the earlier tokens begin this answer."""
+        """Return whether the tokens so far are a prefix of this answer."""
         return all(
             token == make_token(self.seed, n + 1)
             for n, token in enumerate(self.tokens)
         )
 
     def all_tokens(self) -> list[str]:
-        """Return the prompt and the answer so far."""
+        """Return the tokens of the prompt and of the answer so far."""
         return self.prompt + [token.strip() for token in self.tokens]
 
     def notify_readers(self) -> None:
-        """Tell the connections that there is more to send."""
+        """Wake the connections that wait for new events."""
         self.new_events.set()
         self.new_events = asyncio.Event()
 
     def generate(self, most: int) -> int:
-        """Generate up to ``most`` tokens and return how many."""
+        """Generate up to ``most`` tokens; return the number generated."""
         count = min(most, self.length - len(self.tokens))
         for _ in range(count):
             n = len(self.tokens) + 1
@@ -143,7 +155,7 @@
 
 
 def _encode_token(n: int, token: str) -> bytes:
-    # Tokens of the stand-in need no escaping.
+    # The generated tokens contain no characters that JSON escapes.
     return (
         b'id: %d\ndata: {"object":"chat.completion.chunk","choices":[{"index"'
         b':0,"delta":{"content":"%b"},"finish_reason":null}]}\n\n'
@@ -152,7 +164,7 @@
 
 
 class Batch:
-    """Runs answers side by side, as continuous batching does."""
+    """Runs answers concurrently, as continuous batching does."""
 
     def __init__(
         self, options: EngineOptions, crash: Callable[[], None]
@@ -170,11 +182,11 @@
 
     @property
     def waiting(self) -> int:
-        """Answers that wait for a slot."""
+        """Number of answers that wait for a slot."""
         return len(self._waiting)
 
     def count_pending(self) -> int:
-        """Return the tokens still to prefill or generate."""
+        """Return the number of tokens still to prefill or generate."""
         answers = [*self.running, *(entry[2] for entry in self._waiting)]
         return sum(
             int(answer.prefill_left) + answer.length - len(answer.tokens)
@@ -182,7 +194,7 @@
         )
 
     def submit(self, answer: Answer, priority: int) -> None:
-        """Queue an answer; a higher priority starts earlier."""
+        """Queue an answer; higher priorities start first."""
         self.cancel(answer.id)
         self.answers[answer.id] = answer
         answer.unread_since = _now()
@@ -191,12 +203,12 @@
         self._work.set()
 
     def find(self, request_id: str) -> Answer | None:
-        """Return the answer with this id unless it was dropped."""
-        self._sweep()
+        """Return the answer with this id, or None if it was dropped."""
+        self._drop_abandoned()
         return self.answers.get(request_id)
 
     def cancel(self, request_id: str) -> bool:
-        """Drop an answer and tell whether it was known."""
+        """Drop an answer; return whether it existed."""
         answer = self.answers.pop(request_id, None)
         if answer is None:
             return False
@@ -216,7 +228,7 @@
         step = min(max(step, MIN_STEP_SECONDS), MAX_STEP_SECONDS)
         last = _now()
         while True:
-            self._sweep()
+            self._drop_abandoned()
             if not self.running and not self._waiting:
                 self._work.clear()
                 await self._work.wait()
@@ -244,8 +256,8 @@
             if answer.resumed_tokens:
                 counts.tokens_recomputed += answer.prefilled
         for answer in self.running:
-            seen = self.counts.together.get(answer.id, 0)
-            self.counts.together[answer.id] = max(seen, len(self.running))
+            most = self.counts.together.get(answer.id, 0)
+            self.counts.together[answer.id] = max(most, len(self.running))
 
     def _step(self, elapsed: float) -> None:
         prefill = elapsed * self.options.prefill_rate
@@ -268,7 +280,7 @@
         count = int(answer.token_credit)
         answer.token_credit -= count
         done = len(answer.tokens)
-        if self._is_poison(answer) and done + count >= faults.crash_after:
+        if self._triggers_crash(answer) and done + count >= faults.crash_after:
             self.crash()
             return
         if faults.freeze_after is not None:
@@ -282,14 +294,15 @@
         if failing and len(answer.tokens) == faults.fail_after:
             answer.fail()
 
-    def _is_poison(self, answer: Answer) -> bool:
+    def _triggers_crash(self, answer: Answer) -> bool:
         marker = self.faults.crash_marker
         if marker is not None and marker in str(answer.body.get("messages")):
             return True
         version = self.faults.crash_version
         return version is not None and version == answer.version
 
-    def _sweep(self) -> None:
+    def _drop_abandoned(self) -> None:
+        """Cancel answers that have had no reader for ``keep_seconds``."""
         oldest = _now() - self.options.keep_seconds
         for answer in tuple(self.answers.values()):
             if answer.readers == 0 and answer.unread_since < oldest:
--- a/lagoonpost_standins/engine_events.py
+++ b/lagoonpost_standins/engine_events.py
@@ -1,4 +1,4 @@
-"""Connections of the stand-in engine's answers, with faults applied."""
+"""Event streams of the stand-in engine, with faults applied."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class _Connection:
-    """One connection of an answer, as the faults see it."""
+    """One connection of an answer and the faults that affect it."""
 
     def __init__(self, *, first: bool) -> None:
         self.first = first
@@ -31,7 +31,7 @@
         self._connections: set[_Connection] = set()
 
     def set_faults(self, faults: Faults) -> None:
-        """Take over ``faults`` and strike open connections with them."""
+        """Replace the faults and apply them to open connections."""
         self.faults = faults
         for connection in self._connections:
             connection.cut |= faults.cut_now
@@ -40,7 +40,15 @@
     async def send(
         self, responder: Responder, answer: Answer, start: int, *, first: bool
     ) -> None:
-        """Send an answer's events from index ``start``, faults applied."""
+        """Send an answer's events from index ``start``.
+
+        Args:
+            responder: Connection to write to.
+            answer: Answer whose events are sent.
+            start: Index of the first event to send.
+            first: Whether this is the answer's first connection; some
+                faults affect no other.
+        """
         connection = _Connection(first=first)
         self._connections.add(connection)
         answer.readers += 1
@@ -62,11 +70,11 @@
         while True:
             grown = answer.new_events
             events = answer.events[position:]
-            events = self._limit(events, position, connection)
+            events = self._apply_limits(events, position, connection)
             if connection.cut:
                 raise ClientDisconnectedError("cut by a fault")
             if events and not connection.silent:
-                data = self._shuffle(events, answer, position)
+                data = self._apply_event_faults(events, answer, position)
                 await responder.write(b"".join(data))
                 position += len(events)
                 continue
@@ -75,10 +83,13 @@
                 return
             await grown.wait()
 
-    def _limit(
+    def _apply_limits(
         self, events: list[bytes], position: int, connection: _Connection
     ) -> list[bytes]:
-        """Cut or silence a first connection at its token, not before."""
+        """Send up to the fault's token, then cut or silence.
+
+        Only an answer's first connection is affected.
+        """
         if not connection.first:
             return events
         for limit, name in (
@@ -92,7 +103,7 @@
             events = events[: max(0, limit - position)]
         return events
 
-    def _shuffle(
+    def _apply_event_faults(
         self, events: list[bytes], answer: Answer, position: int
     ) -> list[bytes]:
         if self.faults.reorder:
--- a/lagoonpost_standins/engine_fault.py
+++ b/lagoonpost_standins/engine_fault.py
@@ -1,31 +1,32 @@
-"""Faults that tests switch on in the stand-in engine."""
+"""Faults to inject into the stand-in engine, and its counters."""
 
 import msgspec
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What goes wrong; each request to set them replaces them all.
+    """Injected faults; each request to set faults replaces all of them.
 
     Attributes:
-        freeze_after: Answers stand still after this many tokens, while
-            the engine goes on to answer HTTP.
-        cut_after: Each answer's first connection is cut after this many
-            tokens; the answer lives on.
-        silence_after: Each answer's first connection goes silent after
-            this many tokens; new connections work.
-        cut_now: Cut all connections of answers once, now.
-        silence_now: Silence all connections of answers once, now.
+        freeze_after: Stop generating each answer after this many tokens;
+            the engine still answers HTTP requests.
+        cut_after: Close the first connection of each answer after this
+            many tokens; the answer continues.
+        silence_after: Send nothing more on the first connection of each
+            answer after this many tokens; later connections work.
+        cut_now: Close the open connections of all answers, once.
+        silence_now: Send nothing more on the open connections, once.
         duplicate: Send every event twice.
-        reorder: Swap every two neighbouring events.
-        late: Send the first event of a connection once more, much later.
-        crash_marker: The process dies as it runs a body that holds this.
-        crash_after: Tokens that come before such a death.
-        crash_version: The process dies as it runs this version.
+        reorder: Swap each pair of consecutive events.
+        late: Repeat the answer's first event before later ones.
+        crash_marker: Crash while running a request whose messages contain
+            this text.
+        crash_after: Tokens to generate before such a crash.
+        crash_version: Crash while running a request for this version.
         slow: Factor on the time per token and per prefill.
-        fail_status: Answer new requests by this status.
-        fail_after: Answers end with an error event after this many tokens.
+        fail_status: Answer new requests with this status.
+        fail_after: End answers with an error event after this many tokens.
         refuse: Refuse new requests as not run.
-        export_cut: Cut KV exports after this part of their bytes.
+        export_cut: Cut KV exports after this fraction of their bytes.
         cache_gap: Leave out every second cache event.
     """
 
@@ -49,22 +50,22 @@
 
 
 class Counts(msgspec.Struct):
-    """What the stand-in engine did, for comparisons in tests.
+    """Counters of the stand-in engine's work, for assertions in tests.
 
     Attributes:
         requests: Requests run.
         refused: Requests refused as not run.
-        tokens_generated: Tokens of answers.
-        tokens_prefilled: Prompt and earlier tokens computed.
-        tokens_recomputed: The part of those prefilled for answers which
-            had been begun elsewhere or before.
-        bad_continuations: Requests whose earlier tokens were not the
-            beginning of the answer.
+        tokens_generated: Tokens generated for answers.
+        tokens_prefilled: Prompt and answer tokens prefilled.
+        tokens_recomputed: Tokens of ``tokens_prefilled`` that belong to
+            answers resumed from another run.
+        bad_continuations: Requests whose ``continue_tokens`` are not a
+            prefix of the answer.
         canceled: Answers canceled by request.
-        exported_bytes: KV cache sent.
-        runs: Times that each request id was run.
-        together: Largest number of answers that ran side by side with
-            each request id.
+        exported_bytes: Bytes of KV cache sent.
+        runs: Number of runs of each request id.
+        together: Largest number of answers that ran concurrently with
+            each request id, itself included.
     """
 
     requests: int = 0
--- a/lagoonpost_standins/engine_model.py
+++ b/lagoonpost_standins/engine_model.py
@@ -32,31 +32,31 @@
 def make_token(seed: int, index: int) -> str:
     """Return token ``index`` (from 1) of the answer with ``seed``.
 
-    The index is part of the word, so that a lost, repeated or foreign
-    token shows in a comparison.
+    The token contains its index, so that a comparison shows tokens that
+    are lost, repeated or from another answer.
     """
     digest = xxhash.xxh32_intdigest(index.to_bytes(8, "big"), seed)
     return f"{_WORDS[digest % len(_WORDS)]}{index} "
 
 
 def hash_messages(messages: Sequence[object]) -> int:
-    """Return the seed of the answer to ``messages``."""
+    """Return the seed from which the answer to ``messages`` is generated."""
     return xxhash.xxh32_intdigest(msgspec.json.encode(messages))
 
 
 def make_text(messages: Sequence[object], tokens: int) -> str:
-    """Return the whole answer of ``tokens`` tokens, for comparisons."""
+    """Return the expected answer to ``messages`` of ``tokens`` tokens."""
     seed = hash_messages(messages)
     return "".join(make_token(seed, n + 1) for n in range(tokens))
 
 
 def find_default_length(seed: int) -> int:
-    """Return how long an answer gets when the caller sets no limit."""
+    """Return the tokens of an answer if the caller sets no limit."""
     return MIN_DEFAULT_TOKENS + seed % MIN_DEFAULT_TOKENS
 
 
 def split_prompt(messages: Sequence[object]) -> list[str]:
-    """Return the prompt's tokens: its words with a mark for each role."""
+    """Return the prompt's tokens: a role marker and words per message."""
     tokens: list[str] = []
     for message in messages:
         if isinstance(message, dict):
@@ -66,7 +66,7 @@
 
 
 def hash_blocks(tokens: Sequence[str]) -> list[int]:
-    """Return one hash per whole block, each over all tokens before too."""
+    """Return one hash per full block, which covers all preceding tokens."""
     hashes: list[int] = []
     previous = 0
     for start in range(0, len(tokens) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
@@ -77,7 +77,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """Blocks stored in or dropped from the cache at once."""
+    """Blocks stored in and evicted from the cache in one operation."""
 
     seq: int
     stored: list[int]
@@ -85,7 +85,11 @@
 
 
 class PrefixCache:
-    """Least recently used blocks of prefixes, in limited memory."""
+    """An LRU cache of prefix blocks.
+
+    Attributes:
+        events: Latest changes, at most `MAX_EVENTS`.
+    """
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity = max(1, capacity_tokens // BLOCK_TOKENS)
@@ -95,11 +99,11 @@
 
     @property
     def used(self) -> float:
-        """Part of the memory in use, 0 to 1."""
+        """Share of the capacity in use, 0 to 1."""
         return len(self._blocks) / self._capacity
 
     def count_cached(self, hashes: Sequence[int]) -> int:
-        """Return how many leading tokens need no prefill."""
+        """Return the number of leading tokens that need no prefill."""
         blocks = 0
         for value in hashes:
             if value not in self._blocks:
@@ -109,7 +113,7 @@
         return blocks * BLOCK_TOKENS
 
     def store(self, hashes: Sequence[int]) -> None:
-        """Keep ``hashes`` and drop what was not used for longest."""
+        """Store blocks and evict the least recently used ones."""
         stored = [value for value in hashes if value not in self._blocks]
         for value in hashes:
             self._blocks[value] = None
--- a/lagoonpost_standins/engine_routes.py
+++ b/lagoonpost_standins/engine_routes.py
@@ -18,6 +18,8 @@
 
 
 class _KvHead(msgspec.Struct):
+    """Header of a KV export; ``padding`` bytes follow it."""
+
     model: str
     version: str
     tokens: int
@@ -46,7 +48,7 @@
 
 
 class Routes:
-    """Turns HTTP requests into calls of the engine."""
+    """Dispatches HTTP requests to the engine."""
 
     def __init__(self, engine: EngineState) -> None:
         self._engine = engine
--- a/lagoonpost_standins/engine_state.py
+++ b/lagoonpost_standins/engine_state.py
@@ -1,4 +1,4 @@
-"""State of the stand-in engine besides its answers: orders and load."""
+"""State of the stand-in engine: role, loaded versions and load report."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,13 @@
 
 
 class Order(msgspec.Struct):
-    """The whole wanted state, with its fencing number."""
+    """Desired state of an engine, with a fencing token.
+
+    Attributes:
+        fence: Fencing token; orders with an older one are rejected.
+        versions: Versions to keep loaded; all others are unloaded.
+        role: Role; only ``serving`` engines accept requests.
+    """
 
     fence: int
     versions: list[str] = []
@@ -20,7 +26,7 @@
 
 
 class EngineState:
-    """What the routes of the stand-in engine work on."""
+    """State shared by the routes of the stand-in engine."""
 
     def __init__(
         self, name: str, options: EngineOptions, crash: Callable[[], None]
@@ -36,18 +42,18 @@
 
     @property
     def faults(self) -> Faults:
-        """The faults in force."""
+        """The injected faults."""
         return self.batch.faults
 
     def set_faults(self, faults: Faults) -> None:
-        """Replace the faults in force."""
+        """Replace all injected faults."""
         self.batch.faults = faults
         self.feed.set_faults(faults)
         for answer in self.batch.answers.values():
             answer.notify_readers()
 
     def report_load(self) -> dict[str, float]:
-        """Return a load report, up to its lag old."""
+        """Return a load report that is up to ``report_seconds`` old."""
         now = asyncio.get_running_loop().time()
         if now - self._load[0] > self.options.report_seconds:
             report = {
@@ -61,7 +67,7 @@
         return self._load[1]
 
     def apply_order(self, order: Order) -> Response:
-        """Take over the whole wanted state, or refuse an old fence."""
+        """Apply the desired state, or reject an old fencing token."""
         if self.options.checks_fence and order.fence < self.fence:
             return make_problem(409, "the fencing number is old")
         self.fence = order.fence
@@ -76,7 +82,7 @@
         return make_json_response(200, self.describe())
 
     def describe(self) -> dict[str, object]:
-        """Return the state that orders set."""
+        """Return the state that orders change."""
         return {
             "name": self.name,
             "fence": self.fence,
@@ -85,7 +91,7 @@
         }
 
     def find_refusal(self, version: str) -> str | None:
-        """Return why a request for ``version`` is not run, or None."""
+        """Return why requests for ``version`` are refused, or None."""
         if self.faults.refuse or self.role != "serving":
             return "no new work"
         if self.versions and version and version not in self.versions:
@@ -96,7 +102,7 @@
 def make_problem(
     status: int, detail: str, execution: str = "not_run"
 ) -> Response:
-    """Return a problem+json response that says whether the call ran."""
+    """Return a problem+json response that states whether the call ran."""
     problem = {"status": status, "detail": detail, "execution": execution}
     headers = (("content-type", "application/problem+json"),)
     return Response(status, headers, msgspec.json.encode(problem))
--- a/lagoonpost_standins/main.py
+++ b/lagoonpost_standins/main.py
@@ -20,13 +20,13 @@
 
 @click.group()
 def main() -> None:
-    """Stand-ins for what lagoonpost needs around it, for tests."""
+    """Stand-ins for the systems around lagoonpost, for tests."""
 
 
 @main.command()
 @listen_option
 def platform(listen: Address) -> None:
-    """Table service, object store, hosts and notices, all in memory."""
+    """Table service, object store, hosts and reclaim notices in memory."""
     asyncio.run(serve(listen, Platform().handle))
 
 
@@ -56,7 +56,7 @@
 @click.option("--checks-fence/--ignores-fence", default=True)
 @click.option("--loaded", "versions", multiple=True, metavar="VERSION")
 def engine(listen: Address, name: str, **options: Any) -> None:
-    """Model engine; EngineOptions says what its options mean."""
+    """Model engine; see EngineOptions for the options."""
     asyncio.run(serve_engine(listen, name, EngineOptions(**options)))
 
 
--- a/lagoonpost_standins/platform.py
+++ b/lagoonpost_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: tables, objects, hosts and reclaim notices."""
+"""Stand-in for the platform: table, objects, hosts and reclaim notices."""
 
 import asyncio
 from collections import Counter
@@ -17,15 +17,15 @@
 
 
 class PlatformFaults(TypedDict, total=False):
-    """Faults by order; an order replaces the one before it.
+    """Injected faults; setting faults replaces all previous ones.
 
     Attributes:
-        down: Close each connection without doing anything.
+        down: Close each connection without handling the request.
         slow: Seconds to wait before each operation.
-        lose_replies: Cut off so many replies to writes after their effect.
-        drop_requests: Cut off so many requests before any effect.
+        lose_replies: Number of writes to apply without a reply.
+        drop_requests: Number of requests to drop before they are handled.
         refuse_buy: Refuse to start hosts.
-        host_lag: Seconds by which the host list is late.
+        host_lag: Seconds by which the host list is out of date.
     """
 
     down: bool
@@ -36,7 +36,9 @@
     host_lag: float
 
 
-class _Order(TypedDict, total=False):
+class _TableRequest(TypedDict, total=False):
+    """Body of a request to the table service."""
+
     conditions: list[dict[str, Any]]
     writes: list[dict[str, Any]]
     keys: list[str]
@@ -46,7 +48,7 @@
 
 
 class Platform:
-    """Handles the platform's requests; a test gives it faults over HTTP."""
+    """Handles requests to the platform; tests inject faults over HTTP."""
 
     def __init__(self) -> None:
         self.table = Table()
@@ -64,11 +66,11 @@
         }
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Serve one request; return without answering to cut it off."""
+        """Serve one request; a return without an answer disconnects."""
         if request.path.startswith("/standin/"):
             await responder.send(self._control(request))
             return
-        if self.faults.get("down") or self._use_up("drop_requests"):
+        if self.faults.get("down") or self._consume_fault("drop_requests"):
             self.counts["dropped"] += 1
             return
         await asyncio.sleep(self.faults.get("slow", 0.0))
@@ -81,12 +83,13 @@
         answer = serve(request)
         if request.method != "GET" and area not in ("read", "scan"):
             self.counts["writes"] += 1
-            if self._use_up("lose_replies"):
+            if self._consume_fault("lose_replies"):
                 self.counts["lost_replies"] += 1
                 return
         await responder.send(answer)
 
-    def _use_up(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
+        """Decrement a fault's counter; return whether the fault applies."""
         left = int(self.faults.get(fault, 0))  # type: ignore[call-overload]
         if left <= 0:
             return False
@@ -109,23 +112,23 @@
         return NO_ROUTE
 
     def _transact(self, request: Request) -> Response:
-        order = msgspec.json.decode(request.body, type=_Order)
-        conditions = [Condition(**each) for each in order["conditions"]]
-        writes = [Write(**each) for each in order["writes"]]
+        call = msgspec.json.decode(request.body, type=_TableRequest)
+        conditions = [Condition(**fields) for fields in call["conditions"]]
+        writes = [Write(**fields) for fields in call["writes"]]
         self.counts["written_rows"] += len(writes)
         outcome = self.table.transact(conditions, writes)
         status = 409 if isinstance(outcome, Conflict) else 200
         return _answer_rows(status, outcome.rows)
 
     def _read(self, request: Request) -> Response:
-        order = msgspec.json.decode(request.body, type=_Order)
-        self.counts["read_rows"] += len(order["keys"])
-        return _answer_rows(200, self.table.read(order["keys"]))
+        call = msgspec.json.decode(request.body, type=_TableRequest)
+        self.counts["read_rows"] += len(call["keys"])
+        return _answer_rows(200, self.table.read(call["keys"]))
 
     def _scan(self, request: Request) -> Response:
-        order = msgspec.json.decode(request.body, type=_Order)
+        call = msgspec.json.decode(request.body, type=_TableRequest)
         rows = self.table.scan(
-            order["prefix"], order.get("after", ""), order.get("limit", 1000)
+            call["prefix"], call.get("after", ""), call.get("limit", 1000)
         )
         return _answer_rows(200, rows)
 
--- a/lagoonpost_standins/rows.py
+++ b/lagoonpost_standins/rows.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' metadata store: rows, transactions and feeds."""
+"""Stand-in for the metadata store: rows, transactions and watch feeds."""
 
 import asyncio
 import base64
@@ -16,29 +16,32 @@
 from lagoonpost.http.responder import Responder
 
 Outage = Literal["none", "busy", "silent", "reset", "lost"]
+"""Outages: 503 answers, no answers, closed connections, or writes that are
+applied without an answer."""
 RowId = tuple[str, str, str]
+"""Table, partition and key of a row."""
 MAX_SNAPSHOTS = 500
-"""Copies that the store may come back from, one for each transaction."""
+"""Snapshots kept for `RowStore.roll_back`, one per transaction."""
 
 
 class StoredRow(NamedTuple):
-    """A row, or that it was deleted (``value`` is None)."""
+    """A row; ``value`` is None if it was deleted."""
 
     version: int
     value: str | None
 
 
 class RowStore:
-    """Rows in memory with their history.
+    """Versioned rows in memory with snapshots of earlier states.
 
     Attributes:
-        outage: How calls fail: "lost" carries writes out and does not
-            answer, the others do nothing.
-        refused: Address prefixes of hosts that are turned away, all if
-            empty; for an outage that only some hosts see.
+        outage: How calls fail: "lost" applies writes without answering
+            them, the others apply nothing.
+        refused: Address prefixes of the hosts that the outage affects;
+            empty if it affects all hosts.
         calls: Number of calls so far.
         version: Newest version.
-        era: What answers name as the era; it rises with each return.
+        era: Era sent with each answer; incremented by each roll-back.
     """
 
     def __init__(self) -> None:
@@ -47,15 +50,19 @@
         self.calls = 0
         self.version = 0
         self.era: int | str = 0
-        self._past: list[tuple[float, int, dict[RowId, StoredRow]]] = []
+        self._snapshots: list[tuple[float, int, dict[RowId, StoredRow]]] = []
         self._rows: dict[RowId, StoredRow] = {}
-        self._forgotten = 0
+        self._compacted = 0
         self._changed = asyncio.Condition()
 
-    # What tests do directly, as operator and runners would
+    # Direct access for tests, in place of operators and runners
 
     async def put(self, table: str, key: str, value: Any) -> int:
-        """Write a row as JSON, or as it is if it is bytes."""
+        """Write a row, encoded as JSON unless ``value`` is bytes.
+
+        Returns:
+            The version of the write.
+        """
         raw = value if isinstance(value, bytes) else msgspec.json.encode(value)
         await self._apply([((table, "", key), base64.b64encode(raw).decode())])
         return self.version
@@ -65,43 +72,43 @@
         await self._apply([((table, "", key), None)])
 
     def get(self, table: str, key: str) -> Any:
-        """Return a row's value; None if there is none."""
+        """Return a row's decoded value, or None if there is no row."""
         row = self._rows.get((table, "", key))
         if row is None or row.value is None:
             return None
         return msgspec.json.decode(base64.b64decode(row.value))
 
     def list_keys(self, table: str) -> list[str]:
-        """Return the keys of a table's rows."""
+        """Return the keys of a table's existing rows."""
         return [
-            place[2]
-            for place, row in self._rows.items()
-            if place[0] == table and row.value is not None
+            row_id[2]
+            for row_id, row in self._rows.items()
+            if row_id[0] == table and row.value is not None
         ]
 
     def compact_history(self) -> None:
-        """Answer feeds that began before now with the loss of history."""
-        self._forgotten = self.version
+        """Drop the history; feeds from older versions are answered 410."""
+        self._compacted = self.version
 
     async def roll_back(self, seconds: float) -> None:
-        """Come back from a copy that is some seconds old.
+        """Restore the state of some seconds ago, as from a backup.
 
-        What was written since is gone, its versions are given out again,
-        and feeds from one that the copy does not have get no answer.
+        Later writes are lost and their versions are assigned again. Feeds
+        from a version newer than the backup are answered 410.
         """
-        oldest = read_seconds() - seconds
+        restore_at = read_seconds() - seconds
         async with self._changed:
-            kept = [each for each in self._past if each[0] <= oldest]
+            kept = [s for s in self._snapshots if s[0] <= restore_at]
             self.version, rows = kept[-1][1:] if kept else (0, {})
             self._rows = dict(rows)
-            self._past = kept
+            self._snapshots = kept
             self.era = int(self.era) + 1
             self._changed.notify_all()
 
     # Calls
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Serve one call; return without answering to cut it off."""
+        """Serve one call; a return without an answer disconnects."""
         self.calls += 1
         outage = self._find_outage(request)
         if outage == "silent":
@@ -132,17 +139,19 @@
         return Response(404)
 
     async def _transact(self, call: dict[str, Any]) -> Response:
-        expected = [(_place(row), row["ver"]) for row in call["expected_rev"]]
-        held = [self._version_of(place) for place, _ in expected]
-        if held != [version for _, version in expected]:
+        expected = [
+            (_find_row_id(row), row["ver"]) for row in call["expected_rev"]
+        ]
+        current = [self._version_of(row_id) for row_id, _ in expected]
+        if current != [version for _, version in expected]:
             rows = [
-                self._show(place)
-                for place, _ in expected
-                if self._version_of(place)
+                self._show(row_id)
+                for row_id, _ in expected
+                if self._version_of(row_id)
             ]
             return self._reply(412, {"rows": rows})
-        changes = [(_place(row), row["value"]) for row in call["writes"]]
-        changes += [(_place(row), None) for row in call["deletes"]]
+        changes = [(_find_row_id(row), row["value"]) for row in call["writes"]]
+        changes += [(_find_row_id(row), None) for row in call["deletes"]]
         await self._apply(changes)
         return self._reply(200, {})
 
@@ -150,20 +159,20 @@
         table, part = query["table"], query.get("part", "")
         first, last = query.get("from", ""), query.get("to", "\U0010ffff")
         limit = int(query.get("limit", 500))
-        places = sorted(
-            place
-            for place, row in self._rows.items()
-            if place[:2] == (table, part)
-            and first <= place[2] < last
+        row_ids = sorted(
+            row_id
+            for row_id, row in self._rows.items()
+            if row_id[:2] == (table, part)
+            and first <= row_id[2] < last
             and row.value is not None
         )
-        rows = [self._show(place) for place in places[:limit]]
-        more = len(places) > limit
+        rows = [self._show(row_id) for row_id in row_ids[:limit]]
+        more = len(row_ids) > limit
         return self._reply(200, {"rows": rows, "has_more": more})
 
     async def _feed(self, query: dict[str, str]) -> Response:
         table, after = query["table"], int(query["after"])
-        if not self._forgotten <= after <= self.version:
+        if not self._compacted <= after <= self.version:
             return Response(410, self._name_era())
         era = self.era
         wait = int(query.get("wait_ms", 0)) / 1000
@@ -178,37 +187,39 @@
                     )
             except TimeoutError:
                 pass
-        if after < self._forgotten or era != self.era:
+        if after < self._compacted or era != self.era:
             return Response(410, self._name_era())
         rows = [
-            self._show(place) for place in self._find_changed(table, after)
+            self._show(row_id) for row_id in self._find_changed(table, after)
         ]
         return self._reply(200, {"rows": rows})
 
     def _find_changed(self, table: str, after: int) -> list[RowId]:
         changed = [
-            (row.version, place)
-            for place, row in self._rows.items()
-            if place[0] == table and row.version > after
+            (row.version, row_id)
+            for row_id, row in self._rows.items()
+            if row_id[0] == table and row.version > after
         ]
-        return [place for _, place in sorted(changed)]
+        return [row_id for _, row_id in sorted(changed)]
 
     async def _apply(self, changes: list[tuple[RowId, str | None]]) -> None:
         async with self._changed:
             self.version += 1
-            for place, value in changes:
-                self._rows[place] = StoredRow(self.version, value)
-            self._past.append((read_seconds(), self.version, dict(self._rows)))
-            del self._past[:-MAX_SNAPSHOTS]
+            for row_id, value in changes:
+                self._rows[row_id] = StoredRow(self.version, value)
+            self._snapshots.append(
+                (read_seconds(), self.version, dict(self._rows))
+            )
+            del self._snapshots[:-MAX_SNAPSHOTS]
             self._changed.notify_all()
 
-    def _version_of(self, place: RowId) -> int:
-        row = self._rows.get(place)
+    def _version_of(self, row_id: RowId) -> int:
+        row = self._rows.get(row_id)
         return row.version if row and row.value is not None else 0
 
-    def _show(self, place: RowId) -> dict[str, Any]:
-        table, part, key = place
-        version, value = self._rows[place]
+    def _show(self, row_id: RowId) -> dict[str, Any]:
+        table, part, key = row_id
+        version, value = self._rows[row_id]
         row = {"table": table, "part": part, "key": key, "ver": version}
         return row | ({"deleted": True} if value is None else {"value": value})
 
@@ -225,9 +236,9 @@
 
 
 def read_seconds() -> float:
-    """Return the store's steady clock."""
+    """Return the time of the store's monotonic clock."""
     return asyncio.get_running_loop().time()
 
 
-def _place(row: dict[str, Any]) -> RowId:
+def _find_row_id(row: dict[str, Any]) -> RowId:
     return str(row["table"]), str(row.get("part", "")), str(row["key"])
--- a/lagoonpost_standins/runner.py
+++ b/lagoonpost_standins/runner.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' runners, which answer forwarded requests."""
+"""Stand-in for runners, the back ends that answer forwarded requests."""
 
 import asyncio
 import json
@@ -29,16 +29,24 @@
     "silent_midway",
     "crash",
 ]
-"""What is wrong with a runner: it has no room, answers 500, resets before or
-after it ran the request, never answers, breaks off its body, sends bytes that
-are no answer, breaks off a stream between or within events, falls silent in a
-stream, or is lost with each request that it begins."""
+"""Faults of a runner:
+
+- full: refuses requests with 503 as not run
+- fail: answers 500
+- reset_before, reset_after: closes the connection before or after the run
+- hang: never answers
+- torn: closes the connection in the middle of the body
+- rude: sends bytes that are not HTTP
+- break_off, break_within: ends a stream between events or within one
+- silent_midway: stops sending in the middle of a stream
+- crash: closes the connection of each request that it starts to run
+"""
 
 
 MoveFault = Literal["none", "no_run", "busy", "no_room", "stop_unanswered"]
-"""What is wrong when a run is to be copied away: the runner says that it has
-no such run, that another copy is under way or that the other has no room, or
-stops the run and never answers."""
+"""Faults when a run is to be moved: the runner answers that it has no such
+run (no_run), that another move is in progress (busy) or that the target has no
+capacity (no_room), or it stops the run and never answers (stop_unanswered)."""
 _MOVE_REFUSALS: dict[MoveFault, int] = {
     "no_run": 404,
     "busy": 409,
@@ -47,14 +55,20 @@
 
 
 class KvCopy(NamedTuple):
-    """A run's memory at another runner."""
+    """The KV cache of a run, copied to the runner at ``target``."""
 
     attempt: str
     target: str
 
 
 class ReceivedRequest(NamedTuple):
-    """One request as it arrived, at a time of the steady clock."""
+    """One received request.
+
+    Attributes:
+        request: The request.
+        ran: Whether the runner accepted it.
+        at: Arrival, in seconds of the monotonic clock.
+    """
 
     request: Request
     ran: bool
@@ -62,22 +76,22 @@
 
 
 class RunnerStandin:
-    """One runner.
+    """A runner that listens on a free port.
 
     Args:
-        id: Its id.
-        events: Events of each stream.
+        id: Id of the runner.
+        events: Number of events of each stream.
 
     Attributes:
-        fault: What is wrong with it.
+        fault: Injected fault.
         pause: Seconds before an answer and between events.
-        seen: Requests that arrived, in order.
-        runs: Number of runs by request id.
-        cancelled: Requests whose connection was closed before their end.
-        events: Events of each stream.
-        move_fault: What is wrong when a run is copied from here.
-        copies: Copies of all runners, by handle; used ones are gone.
-        freed: Handles that were given back here.
+        received: Received requests, in order of arrival.
+        runs: Number of runs by attempt id.
+        cancelled: Attempts whose caller disconnected before the end.
+        events: Number of events of each stream.
+        move_fault: Injected fault for moves from this runner.
+        copies: Unused KV copies of all runners, by handle.
+        freed_handles: Handles of copies that this runner was told to free.
     """
 
     copies: ClassVar[dict[str, KvCopy]] = {}
@@ -97,16 +111,16 @@
         self._server = Server(self.handle, cancel_on_disconnect=True)
 
     async def start(self) -> Address:
-        """Listen on a free port."""
+        """Listen on a free port and return the address."""
         self.address = await self._server.start(self.address)
         return self.address
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop and cut all connections."""
         await self._server.close(0.0)
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Serve one request; return without answering to cut it off."""
+        """Serve one request; a return without an answer disconnects."""
         if request.path == "/v1/kv-move":
             await self._move(request, responder)
             return
@@ -124,7 +138,7 @@
             return
         if self.fault == "reset_before":
             return
-        # What goes on from a copy is still the same run.
+        # A request that resumes from a KV copy continues the same run.
         self.runs[attempt] += request.header("kv-from") is None
         try:
             await self._run(request, responder)
@@ -141,7 +155,11 @@
         return None
 
     def _has_copy(self, request: Request) -> bool:
-        """Take the copy that a request goes on from, if it names one."""
+        """Consume the KV copy that a request names.
+
+        Returns:
+            False if the request names a copy that is not here.
+        """
         saved = request.header("kv-from")
         if saved is None:
             return True
@@ -244,11 +262,11 @@
 
 
 def make_body(request: Request) -> bytes:
-    """Return a plain answer, a function of the request's own bytes."""
+    """Return the answer to a plain request, derived from its bytes."""
     text = f"{request.method} {request.target} ".encode("latin-1")
     return text + request.body
 
 
 def make_event(target: str, number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return the encoded event with this number, from 1, of a stream."""
     return f"id: {number}\ndata: {target} {number}\n\n".encode("latin-1")
--- a/lagoonpost_standins/service.py
+++ b/lagoonpost_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: takes bookings and answers checks."""
+"""Stand-in for a plain service with bookings (POST) and checks (GET)."""
 
 import asyncio
 import hashlib
@@ -29,15 +29,16 @@
 
 
 class ServiceFaults(TypedDict, total=False):
-    """Faults by order; an order replaces the one before it.
+    """Injected faults; setting faults replaces all previous ones.
 
     Attributes:
-        refuse: Refuse so many calls as not run.
-        crash: End the process at this point of the next booking.
-        freeze: Stop the process (as SIGSTOP) at this point.
-        cut: Close the connection at this point of the next booking.
-        slow: Seconds that each call takes.
-        fail: Status with which each call fails.
+        refuse: Number of calls to refuse as not run.
+        crash: Kill the process before or after the next booking runs.
+        freeze: Send the process SIGSTOP before or after the next booking
+            runs.
+        cut: Close the connection before or after the next booking runs.
+        slow: Seconds to wait before each call.
+        fail: Status with which to fail all calls.
     """
 
     refuse: int
@@ -49,7 +50,12 @@
 
 
 class Service:
-    """Runs bookings, counted per idempotency key, and current checks."""
+    """Counts bookings by idempotency key and answers checks.
+
+    Attributes:
+        faults: Injected faults.
+        runs: Number of runs of each idempotency key.
+    """
 
     def __init__(self, name: str = "service") -> None:
         self.faults: ServiceFaults = {}
@@ -59,7 +65,7 @@
         self._calls = 0
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Serve one call; return without answering to cut it off."""
+        """Serve one call; a return without an answer disconnects."""
         if request.path.startswith("/standin/"):
             await responder.send(self._control(request))
             return
@@ -75,21 +81,21 @@
         if request.method == "GET":
             await responder.send(self._check())
             return
-        if self._fail("before"):
+        if self._apply_fault("before"):
             return
         self.runs[request.header(KEY_HEADER) or ""] += 1
-        if self._fail("after"):
+        if self._apply_fault("after"):
             return
         await responder.send(make_booking_answer(request.body))
 
     def _check(self) -> Response:
-        """Answer with a counter, so that a repeated answer shows."""
+        """Answer with a counter, which reveals repeated answers."""
         self._checks += 1
         state = {"check": self._checks, "bookings": self.runs.total()}
         return make_json_response(200, state)
 
-    def _fail(self, point: Point) -> bool:
-        """Carry out the fault ordered for ``point``; True to cut off."""
+    def _apply_fault(self, point: Point) -> bool:
+        """Apply the fault injected at ``point``; return True to disconnect."""
         if self.faults.get("crash") == point:
             os.kill(os.getpid(), signal.SIGKILL)
         if self.faults.get("freeze") == point:
@@ -116,10 +122,10 @@
 
 
 def make_booking_answer(body: bytes) -> Response:
-    """Return the answer to a booking, a function of its body only.
+    """Return the answer to a booking, which depends on its body only.
 
-    It has bytes that are no text, so that a test sees whether answers pass
-    byte for byte.
+    The answer contains bytes that are not valid text, so that a test detects
+    whether answers are forwarded byte for byte.
     """
     digest = hashlib.sha256(body).digest()
     content_type = ("content-type", "application/octet-stream")
--- a/lagoonpost_standins/shutdown.py
+++ b/lagoonpost_standins/shutdown.py
@@ -1,4 +1,4 @@
-"""Waits for the signal that ends a stand-in."""
+"""Shutdown of the stand-ins on signals."""
 
 import asyncio
 import signal
--- a/search/__init__.py
+++ b/search/__init__.py
@@ -1,1 +1,1 @@
-"""A search for days that come near to breaking a rule."""
+"""Guided search for fault schedules that come close to breaking a rule."""
--- a/search/__main__.py
+++ b/search/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the search for days that come near to a bound."""
+"""Command line of the search for days close to a rule's bound."""
 
 import sys
 from pathlib import Path
@@ -22,32 +22,49 @@
 
 
 def choose_rules(names: tuple[str, ...]) -> list[str]:
-    """Return the rules that margins tell of; others get a note."""
-    told, untold = list_rules()
+    """Return the rules that have a margin; report the others on stderr.
+
+    Raises:
+        click.UsageError: If no rule has a margin.
+    """
+    measurable, unmeasurable = list_rules()
     for name in names:
-        if name not in told:
-            why = untold.get(name, "no margin has this name")
+        if name not in measurable:
+            why = unmeasurable.get(name, "no margin has this name")
             click.echo(f"left out: rule {name!r}: {why}", err=True)
-    chosen = [name for name in names if name in told]
+    chosen = [name for name in names if name in measurable]
     if not chosen:
-        raise click.UsageError(f"no rule to search for; known: {told}")
+        raise click.UsageError(f"no rule to search for; known: {measurable}")
     return chosen
 
 
 @click.command()
 @click.argument("site", type=_FILE)
 @click.argument("days", type=_FILE, nargs=-1, required=True)
-@click.option("--bench", type=_FILE, required=True, help="Plays the days.")
+@click.option("--bench", type=_FILE, required=True, help="Bench program.")
 @click.option("--rule", "names", multiple=True, required=True)
-@click.option("--code", type=_FOLDER, default=Path("."), help="Is played.")
+@click.option(
+    "--code", type=_FOLDER, default=Path("."), help="Checkout to run."
+)
 @click.option("--plays", type=click.IntRange(1), default=20, show_default=True)
-@click.option("--minutes", default=float("inf"), help="Begin no play later.")
+@click.option(
+    "--minutes", default=float("inf"), help="Start no play after this time."
+)
 @click.option("--jobs", type=click.IntRange(1), default=4, show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--until", default=26.0, show_default=True, help="Seconds.")
-@click.option("--wait", default=300.0, show_default=True, help="For a play.")
-@click.option("--even", is_flag=True, help="Draw each day anew.")
-@click.option("--first", is_flag=True, help="Stop once a bound is passed.")
+@click.option(
+    "--until", default=26.0, show_default=True, help="Seconds to play."
+)
+@click.option(
+    "--wait",
+    default=300.0,
+    show_default=True,
+    help="Timeout of a play in seconds.",
+)
+@click.option("--even", is_flag=True, help="Draw days without guidance.")
+@click.option(
+    "--first", is_flag=True, help="Stop at the first play past the bound."
+)
 @click.option("--why", default="search for days near to a bound")
 @click.option("--out", type=_FOLDER, default=Path("build/search"))
 def main(
@@ -67,12 +84,12 @@
     why: str,
     out: Path,
 ) -> None:
-    """Search for days that come near to a rule's bound.
+    """Search for days that come close to a rule's bound.
 
-    The first --rule is the one whose bound is to be passed; distances of
-    others are added to its, to lead where it tells nothing yet. Days and
-    summary are written into --out. Exit code 1: a play broke a rule or
-    died.
+    The search aims to pass the bound of the first --rule. The distances of
+    the other rules are added to its distance, to guide the search while the
+    first rule has no cases. Days and a summary are written to --out. The exit
+    code is 1 if a play broke a rule or failed.
 
     Example: python -m search SITE DAY --bench PROGRAM
     --rule "holder back by its calls" --plays 40 --seed 1
--- a/search/day.py
+++ b/search/day.py
@@ -1,4 +1,4 @@
-"""Days of troubles: read from files, checked, and written."""
+"""Days: seeded schedules of planned work and faults, stored as TOML."""
 
 import json
 import re
@@ -11,14 +11,14 @@
 Value = str | int | float
 DayEvent = dict[str, Value]
 
-_PLACE = re.compile(r"at `\$\.(\w+)(?:\[(\d+)\])?")
-"""Field of a day in an error's text, and the number of the trouble."""
+_ERROR_FIELD = re.compile(r"at `\$\.(\w+)(?:\[(\d+)\])?")
+"""Matches the field of a day in an error message, and the event's index."""
 
 _Seconds = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class _Trouble(msgspec.Struct, forbid_unknown_fields=True):
-    """Fields of a trouble; the bench looks at kinds and variants."""
+class _EventSchema(msgspec.Struct, forbid_unknown_fields=True):
+    """Schema of an event; the bench checks kinds and variants."""
 
     at: _Seconds
     kind: str
@@ -36,29 +36,29 @@
     class_: str = msgspec.field(default="", name="class")
 
 
-class _Table(msgspec.Struct):
-    """Fields of a day that are checked; others are passed on."""
+class _DaySchema(msgspec.Struct):
+    """Schema of a day; fields that are not listed are passed on unchecked."""
 
     name: str
     seed: int
     slot: str = ""
-    plan: list[_Trouble] = []
-    faults: list[_Trouble] = []
+    plan: list[_EventSchema] = []
+    faults: list[_EventSchema] = []
 
 
 class DayError(Exception):
-    """A file holds no valid day; the text names file, line and field."""
+    """A file has no valid day; the message names file, line and field."""
 
 
 class Day(NamedTuple):
-    """A day; its parts are never changed in place.
+    """A seeded schedule of events, treated as immutable.
 
     Attributes:
         name: Label.
-        seed: What the bench draws the rest of the day from.
-        troubles: Planned work, then the faults.
-        planned: How many of these are planned work.
-        head: The other fields as they stand in the file.
+        seed: Seed from which the bench draws the rest of the day.
+        events: Planned work, followed by the faults.
+        planned_count: Number of events that are planned work.
+        other_fields: Other fields of the file, unchanged.
     """
 
     name: str
@@ -67,17 +67,17 @@
     planned_count: int
     other_fields: dict[str, object]
 
-    def replace_event(self, place: int, trouble: DayEvent) -> "Day":
-        """Return the day with another trouble at a place."""
-        before, after = self.events[:place], self.events[place + 1 :]
-        return self._replace(events=(*before, trouble, *after))
+    def replace_event(self, index: int, event: DayEvent) -> "Day":
+        """Return the day with the event at an index replaced."""
+        before, after = self.events[:index], self.events[index + 1 :]
+        return self._replace(events=(*before, event, *after))
 
 
 def read_days(path: Path) -> list[Day]:
     """Return the days of a file.
 
     Raises:
-        DayError: If the file holds none, or one that isn't valid.
+        DayError: If the file has no day, or an invalid one.
     """
     text = path.read_text()
     try:
@@ -89,27 +89,32 @@
     lines = _find_lines(text)
     for number, table in enumerate(tables):
         try:
-            msgspec.convert(table, _Table)
+            msgspec.convert(table, _DaySchema)
         except msgspec.ValidationError as error:
-            found = _PLACE.search(str(error))
-            place = (found[1], int(found[2] or 0)) if found else ("", 0)
-            line = lines.get((number, *place), lines.get((number, "", 0)))
+            found = _ERROR_FIELD.search(str(error))
+            field = (found[1], int(found[2] or 0)) if found else ("", 0)
+            line = lines.get((number, *field), lines.get((number, "", 0)))
             raise DayError(f"{path}, line {line}: {error}") from error
     return [_make_day(table) for table in tables]
 
 
 def _make_day(table: dict[str, object]) -> Day:
-    head = dict(table)
-    name, seed = cast(str, head.pop("name")), cast(int, head.pop("seed"))
-    plan = cast("list[Trouble]", head.pop("plan", []))
-    faults = cast("list[Trouble]", head.pop("faults", []))
-    return Day(name, seed, (*plan, *faults), len(plan), head)
+    fields = dict(table)
+    name, seed = cast(str, fields.pop("name")), cast(int, fields.pop("seed"))
+    plan = cast("list[DayEvent]", fields.pop("plan", []))
+    faults = cast("list[DayEvent]", fields.pop("faults", []))
+    return Day(name, seed, (*plan, *faults), len(plan), fields)
 
 
 def _find_lines(text: str) -> dict[tuple[int, str, int], int]:
-    """Return the lines of days, of their fields and of their troubles.
+    """Return the line numbers of days, their fields and their events.
 
-    The reader of TOML tells no lines. In a list, a trouble is in one line.
+    Needed because `tomllib` reports no lines of values. Each event of a list
+    must be on one line.
+
+    Returns:
+        Line numbers by index of the day, field (empty for the day itself) and
+        index of the event.
     """
     lines = {}
     day, part, count = -1, "", 0
@@ -129,24 +134,31 @@
 
 
 def write_day(day: Day, comment: str = "") -> str:
-    """Return a day as the text of a file, a comment line before it."""
+    """Return a day as TOML, preceded by a comment line if one is given."""
     lines = [f"# {comment}"] if comment else []
-    lines += ["[[day]]", f"name = {_write(day.name)}", f"seed = {day.seed}"]
     lines += [
-        f"{name} = {_write(each)}" for name, each in day.other_fields.items()
+        "[[day]]",
+        f"name = {_format_value(day.name)}",
+        f"seed = {day.seed}",
+    ]
+    lines += [
+        f"{name} = {_format_value(value)}"
+        for name, value in day.other_fields.items()
     ]
-    written = [f"  {_write(each)}," for each in day.events]
+    written = [f"  {_format_value(event)}," for event in day.events]
     lines += ["plan = [", *written[: day.planned_count], "]"]
     lines += ["faults = [", *written[day.planned_count :], "]"]
     return "\n".join(lines) + "\n"
 
 
-def _write(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, dict):
-        inner = ", ".join(f"{name} = {_write(v)}" for name, v in value.items())
+        inner = ", ".join(
+            f"{name} = {_format_value(v)}" for name, v in value.items()
+        )
         return f"{{ {inner} }}"
     if isinstance(value, list):
-        return f"[{', '.join(map(_write, value))}]"
-    # Numbers and strings are written in TOML as in JSON, unless JSON escapes
-    # characters beyond the first plane.
+        return f"[{', '.join(map(_format_value, value))}]"
+    # Numbers and strings are the same in TOML and JSON, as long as JSON does
+    # not escape characters outside the basic multilingual plane.
     return json.dumps(value, ensure_ascii=False)
--- a/search/loop.py
+++ b/search/loop.py
@@ -1,4 +1,4 @@
-"""The search itself: plays in parallel, and what came of them."""
+"""Main loop of the search, which runs plays concurrently."""
 
 import time
 from collections import deque
@@ -11,13 +11,13 @@
 
 
 class Limits(NamedTuple):
-    """When a search stops.
+    """Limits of a search.
 
     Attributes:
-        plays: Plays at most.
-        seconds: Seconds after which none begins.
-        jobs: Plays at once.
-        first: Whether no play begins after one beyond the first bound.
+        plays: Maximum number of plays.
+        seconds: Seconds after which no play starts.
+        jobs: Maximum number of concurrent plays.
+        first: Whether to stop after the first play past the bound.
     """
 
     plays: int
@@ -33,29 +33,36 @@
     limits: Limits,
     report: Callable[[TrialResult], None] = lambda _: None,
 ) -> list[TrialResult]:
-    """Return all plays in the order in which their days were drawn.
+    """Return the results of all plays, in the order of the draws.
 
-    Plays are told to the chooser in this order, whichever ends first, and a
-    day is drawn once the one `jobs` before it is told. So the days depend on
-    the seed, on `jobs` and on the results alone.
+    Results are recorded in this order, whichever play ends first, and a day is
+    drawn only after the result of the trial `jobs` before it is recorded. The
+    days therefore depend only on the seed, on `jobs` and on the results.
+
+    Args:
+        chooser: Draws the days and records the results.
+        player: Plays the days.
+        rules: Rules to search for, the main one first.
+        limits: Limits of the search.
+        report: Called with each result.
     """
     results: list[TrialResult] = []
-    under_way: deque[tuple[Trial, Future[Play]]] = deque()
+    pending: deque[tuple[Trial, Future[Play]]] = deque()
     end = time.monotonic() + limits.seconds
     going = True
     with ThreadPoolExecutor(limits.jobs) as pool:
         while True:
-            while going and len(under_way) < limits.jobs:
-                drawn = len(results) + len(under_way)
+            while going and len(pending) < limits.jobs:
+                drawn = len(results) + len(pending)
                 if drawn >= limits.plays or time.monotonic() > end:
                     going = False
                     break
                 trial = chooser.draw()
                 future = pool.submit(_play, player, trial)
-                under_way.append((trial, future))
-            if not under_way:
+                pending.append((trial, future))
+            if not pending:
                 return results
-            trial, future = under_way.popleft()
+            trial, future = pending.popleft()
             played = TrialResult(trial, future.result())
             chooser.record(played)
             results.append(played)
@@ -68,5 +75,5 @@
     try:
         return player.play(trial.number, trial.day)
     except Exception as error:
-        # A play that can't be played is a finding, never the search's end.
+        # A failed play is a finding and must not end the search.
         return Play({}, died=f"{type(error).__name__}: {error}")
--- a/search/mutation.py
+++ b/search/mutation.py
@@ -1,4 +1,4 @@
-"""Changes of a day, drawn one at a time."""
+"""Random mutations of days."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -8,8 +8,8 @@
 from search.day import Day
 
 MAX_MOVE_SECONDS = 4.0
-"""Longest move of a trouble, in seconds. Most moves are far shorter: what
-breaks a rule by a race is found by tenths and hundredths of a second."""
+"""Longest move of an event. Most moves are far shorter, since races show up
+at differences of tenths and hundredths of a second."""
 MIN_MOVE_SECONDS = 0.02
 MAX_SCALE_FACTOR = 2.0
 MIN_SCALED_VALUE = 0.05
@@ -17,19 +17,19 @@
 
 
 class MutatedDay(NamedTuple):
-    """A day after a change, and the change in words."""
+    """A day after a mutation, and a description of the mutation."""
 
     day: Day
     description: str
 
 
 class Mutator:
-    """Draws changes of days.
+    """Mutates days.
 
     Args:
-        starts: Days that the search begins with; a changed kind is that of
-            one of their troubles, so that it fits the site.
-        until: Seconds that are played; no trouble begins later.
+        starts: Initial days of the search. An event changes its kind only to
+            that of one of their events, so that it fits the site.
+        until: Seconds to play; no event begins later.
     """
 
     def __init__(self, starts: Sequence[Day], until: float) -> None:
@@ -38,79 +38,86 @@
             e for day in starts for e in day.events[: day.planned_count]
         ]
         faults = [e for day in starts for e in day.events[day.planned_count :]]
-        self._known = {True: planned, False: faults}
+        self._known_events = {True: planned, False: faults}
 
     def mutate(self, rng: Random, day: Day) -> MutatedDay:
-        """Return a day with one change, or a pair moved together."""
-        places = range(len(day.events))
-        # Half of all changes are moves, as times decide races.
+        """Return a day with one event or its seed changed.
+
+        A pair of events may be moved together instead.
+        """
+        indices = range(len(day.events))
+        # Half of all mutations move events, as their times decide races.
         choices = ["time", "time", "time", "pair", "number", "number", "kind"]
-        kind = rng.choice([*choices, "seed"]) if places else "seed"
-        return _CHANGES[kind](self, rng, day, places)
+        kind = rng.choice([*choices, "seed"]) if indices else "seed"
+        return _CHANGES[kind](self, rng, day, indices)
 
     def randomize(self, rng: Random, day: Day) -> MutatedDay:
-        """Return a day with a new seed and half of its troubles changed."""
+        """Return a day with a new seed and about half its events changed."""
         day = self._seed(rng, day, []).day
-        for place in range(len(day.events)):
+        for index in range(len(day.events)):
             if rng.random() < 0.5:
                 change = rng.choice([Mutator._move, Mutator._scale])
-                day = change(self, rng, day, [place]).day
+                day = change(self, rng, day, [index]).day
         return MutatedDay(day, "drawn anew")
 
     def _seed(
-        self, rng: Random, day: Day, _places: Sequence[int]
+        self, rng: Random, day: Day, _indices: Sequence[int]
     ) -> MutatedDay:
         seed = rng.randrange(1, SEED_LIMIT)
         return MutatedDay(day._replace(seed=seed), f"seed {seed}")
 
     def _move(
-        self, rng: Random, day: Day, places: Sequence[int]
+        self, rng: Random, day: Day, indices: Sequence[int]
     ) -> MutatedDay:
-        return self._move_all(day, [rng.choice(places)], _draw_move(rng))
+        return self._move_all(day, [rng.choice(indices)], _draw_move(rng))
 
     def _pair(
-        self, rng: Random, day: Day, places: Sequence[int]
+        self, rng: Random, day: Day, indices: Sequence[int]
     ) -> MutatedDay:
-        pair = rng.sample(places, min(2, len(places)))
+        pair = rng.sample(indices, min(2, len(indices)))
         return self._move_all(day, pair, _draw_move(rng))
 
     def _move_all(
-        self, day: Day, places: Sequence[int], by: float
+        self, day: Day, indices: Sequence[int], by: float
     ) -> MutatedDay:
         words = []
-        for place in places:
-            trouble = day.events[place]
-            before = float(trouble["at"])
-            at = round(min(max(before + by, 0.0), self._until), 3)
-            day = day.replace_event(place, {**trouble, "at": at})
-            words.append(f"{trouble['kind']} at {before:g} to {at:g}")
+        for index in indices:
+            event = day.events[index]
+            old = float(event["at"])
+            at = round(min(max(old + by, 0.0), self._until), 3)
+            day = day.replace_event(index, {**event, "at": at})
+            words.append(f"{event['kind']} at {old:g} to {at:g}")
         return MutatedDay(day, " and ".join(words))
 
     def _scale(
-        self, rng: Random, day: Day, places: Sequence[int]
+        self, rng: Random, day: Day, indices: Sequence[int]
     ) -> MutatedDay:
-        place = rng.choice(places)
-        trouble = day.events[place]
-        names = [name for name in _NUMBERS if name in trouble]
+        index = rng.choice(indices)
+        event = day.events[index]
+        names = [name for name in _NUMBERS if name in event]
         if not names:
-            return self._move(rng, day, [place])
+            return self._move(rng, day, [index])
         name = rng.choice(names)
-        value = _NUMBERS[name](rng, float(trouble[name]))
-        if isinstance(trouble[name], int):
+        value = _NUMBERS[name](rng, float(event[name]))
+        if isinstance(event[name], int):
             value = max(1, round(value))
-        what = f"{trouble['kind']} at {trouble['at']:g}: {name} {value:g}"
+        description = f"{event['kind']} at {event['at']:g}: {name} {value:g}"
         return MutatedDay(
-            day.replace_event(place, {**trouble, name: value}), what
+            day.replace_event(index, {**event, name: value}), description
         )
 
     def _kind(
-        self, rng: Random, day: Day, places: Sequence[int]
+        self, rng: Random, day: Day, indices: Sequence[int]
     ) -> MutatedDay:
-        place = rng.choice(places)
-        at = day.events[place]["at"]
-        other = rng.choice(self._known[place < day.planned_count])
-        what = f"{day.events[place]['kind']} at {at:g} to {other['kind']}"
-        return MutatedDay(day.replace_event(place, {**other, "at": at}), what)
+        index = rng.choice(indices)
+        at = day.events[index]["at"]
+        other = rng.choice(self._known_events[index < day.planned_count])
+        description = (
+            f"{day.events[index]['kind']} at {at:g} to {other['kind']}"
+        )
+        return MutatedDay(
+            day.replace_event(index, {**other, "at": at}), description
+        )
 
 
 _Change = Callable[[Mutator, Random, Day, Sequence[int]], MutatedDay]
--- a/search/player.py
+++ b/search/player.py
@@ -1,4 +1,4 @@
-"""Plays a day on the users' bench and reads what its logs tell."""
+"""Plays days on the users' bench and reads margins from its logs."""
 
 import os
 import signal
@@ -16,14 +16,14 @@
 
 
 class Play(NamedTuple):
-    """What came of playing a day.
+    """Result of playing a day.
 
     Attributes:
-        distances: Least distance to each rule's bound, as a part of the
-            bound; a rule that no case occurred of is not there.
-        told: The margins in words.
-        broken: Rules that the bench says were broken.
-        died: Why there was no whole play; empty if there was.
+        distances: Least distance to the bound of each rule, as a fraction of
+            the bound; rules without a case are absent.
+        told: Descriptions of the margins.
+        broken: Rules that the bench reports as broken.
+        died: Reason why the play failed; empty if it completed.
     """
 
     distances: dict[str, float]
@@ -33,10 +33,10 @@
 
 
 class Player(Protocol):
-    """Plays days; called from several threads at once."""
+    """Plays days; must be thread-safe."""
 
     def play(self, number: int, day: Day) -> Play:
-        """Return what came of playing a day, the number-th of the search."""
+        """Play the day of a numbered trial and return the result."""
         ...
 
 
@@ -44,13 +44,13 @@
     """Plays days on the users' bench.
 
     Attributes:
-        bench: The program.
-        site: File of the site.
-        code: Checkout that is played.
-        folder: Where the days and what the bench printed are kept.
+        bench: Program of the bench.
+        site: File that describes the site.
+        code: Checkout to run.
+        folder: Folder for days and output of the bench.
         until: Seconds to play.
-        wait: Seconds after which a play is given up.
-        why: Line for the bench's journal.
+        wait: Timeout of a play in seconds.
+        why: Reason of the play, for the bench's journal.
     """
 
     bench: Path
@@ -62,7 +62,7 @@
     why: str
 
     def play(self, number: int, day: Day) -> Play:
-        """Play a day; its file, report and log stay in the folder."""
+        """Play a day; its file, report and log are kept in the folder."""
         file = self.folder.absolute() / f"{number:04}.toml"
         report, log = file.with_suffix(".txt"), file.with_suffix(".log")
         file.write_text(write_day(day))
@@ -85,14 +85,14 @@
             try:
                 status = process.wait(self.wait)
             except subprocess.TimeoutExpired:
-                # The processes that it plays would go on without it.
+                # The whole group, as the bench's children would outlive it.
                 os.killpg(process.pid, signal.SIGKILL)
                 return Play({}, died=f"no end after {self.wait:g} s")
         return read_play(status, report.read_text(errors="replace"), log)
 
 
 def read_play(status: int, report: str, log: Path) -> Play:
-    """Return what the bench's exit status, report and log tell."""
+    """Return the result from the bench's exit status, report and log."""
     broken = "".join(
         line.removeprefix(_BROKEN)
         for line in report.splitlines()
@@ -111,32 +111,34 @@
 
 
 def find_least_distances(margins: Iterable[Margin]) -> dict[str, float]:
-    """Return the least distance of each rule, as a part of its bound."""
+    """Return the least distance of each rule, as a fraction of its bound."""
     distances: dict[str, float] = {}
-    for each in margins:
-        if each.distance is None:
+    for margin in margins:
+        if margin.distance is None:
             continue
-        distance = each.distance / (each.bound or 1.0)
-        distances[each.rule] = min(
-            distance, distances.get(each.rule, distance)
+        distance = margin.distance / (margin.bound or 1.0)
+        distances[margin.rule] = min(
+            distance, distances.get(margin.rule, distance)
         )
     return distances
 
 
 def describe_margins(margins: Iterable[Margin]) -> tuple[str, ...]:
-    """Return the margins that occurred, in words."""
+    """Return descriptions of the margins that have a value and a bound."""
     return tuple(
-        f"{each.rule}{f' ({each.subject})' if each.subject else ''}: "
-        f"{each.value:.3f} {each.unit}".rstrip()
-        + f", bound {each.bound:g}"
-        for each in margins
-        if each.value is not None and each.bound is not None
+        f"{margin.rule}{f' ({margin.subject})' if margin.subject else ''}: "
+        f"{margin.value:.3f} {margin.unit}".rstrip()
+        + f", bound {margin.bound:g}"
+        for margin in margins
+        if margin.value is not None and margin.bound is not None
     )
 
 
 def list_rules() -> tuple[list[str], dict[str, str]]:
-    """Return the rules with a margin, and those that no log tells of."""
+    """Return the rules with margins, and reasons why others have none."""
     margins = find_margins(Logs())
-    untold = {each.rule: each.untold for each in margins if each.untold}
-    told = dict.fromkeys(each.rule for each in margins)
-    return [rule for rule in told if rule not in untold], untold
+    reasons = {
+        margin.rule: margin.untold for margin in margins if margin.untold
+    }
+    rules = dict.fromkeys(margin.rule for margin in margins)
+    return [rule for rule in rules if rule not in reasons], reasons
--- a/search/selection.py
+++ b/search/selection.py
@@ -1,4 +1,4 @@
-"""Which day is played next, and which days are gone on from."""
+"""Selection of the days to play and of the days to mutate further."""
 
 from collections.abc import Sequence
 from random import Random
@@ -9,24 +9,25 @@
 from search.player import Play
 
 MAX_KEPT = 5
-"""Days that the search goes on from."""
+"""Number of closest days kept for mutation."""
 INITIAL_DRAWS = 6
-"""Days that are drawn before the search goes on from any."""
+"""Days drawn from the initial days before any mutation of a kept day."""
 RESTART_SHARE = 0.2
-"""Share of the days after these that are drawn anew all the same, so that
-the search doesn't stay where nothing nearer is to be had."""
+"""Share of later days that are still drawn from the initial days, so that the
+search leaves local minima."""
 MAX_DISTANCE = 5.0
-"""Distance, in bounds, of what didn't occur. A day on which it did, however
-far from its bound, is nearer."""
+"""Distance, in multiples of the bound, of a rule without a case. A day with a
+case is never farther away."""
 
 
 class Trial(NamedTuple):
-    """A day that was drawn.
+    """A day to play.
 
     Attributes:
-        number: From 1, in the order in which they were drawn.
-        parent: Number of the day that it was made from; 0 if drawn anew.
-        change: How it was made, in words.
+        number: Number of the trial, from 1 in the order of the draws.
+        parent: Number of the trial whose day was mutated; 0 if the day was
+            drawn from the initial days.
+        change: Description of the mutation.
         day: The day.
     """
 
@@ -37,39 +38,42 @@
 
 
 class TrialResult(NamedTuple):
-    """A trial and its play."""
+    """A trial and the result of its play."""
 
     trial: Trial
     play: Play
 
 
 def sum_distances(play: Play, rules: Sequence[str]) -> float:
-    """Return how far a play stayed from its bounds, all rules together.
+    """Return the sum of a play's distances to the bounds of the rules.
 
-    The sum lets a rule that is near tell of one that didn't occur: a lease
-    that comes back soon, of calls that might.
+    The sum guides the search towards a rule without a case by a related one:
+    a lease that returns early is a step towards calls that come too early.
     """
     return sum(
-        min(MAX_DISTANCE, MAX_DISTANCE if each is None else each)
-        for each in (play.distances.get(rule) for rule in rules)
+        min(MAX_DISTANCE, MAX_DISTANCE if distance is None else distance)
+        for distance in (play.distances.get(rule) for rule in rules)
     )
 
 
 def is_past_bound(play: Play, rules: Sequence[str]) -> bool:
-    """Tell whether a play broke a rule, or went beyond the first bound."""
+    """Return whether a play broke a rule or passed the first rule's bound."""
     distance = play.distances.get(rules[0])
     return bool(play.broken) or (distance is not None and distance < 0)
 
 
 class DaySelector:
-    """Draws the days of a search.
+    """Draws the days of a search, close to the best days so far.
 
     Args:
-        starts: Days that it begins with.
-        rules: Rules whose distances lead, the one that matters most first.
-        mutator: Makes days of days.
-        seed: What all is drawn from.
-        even: Draw each day anew, whatever was seen.
+        starts: Initial days.
+        rules: Rules whose distances guide the search, the main one first.
+        mutator: Mutates days.
+        seed: Seed of all draws.
+        even: Draw each day from the initial days, whatever the results.
+
+    Attributes:
+        kept: Results with the smallest distances, closest first.
     """
 
     def __init__(
@@ -91,13 +95,18 @@
     def draw(self) -> Trial:
         """Return the next day to play."""
         self._drawn += 1
-        # Drawn in both ways, so that both begin with the same days.
-        anew = self._rng.random() < RESTART_SHARE
-        if self._even or anew or self._drawn <= INITIAL_DRAWS or not self.kept:
+        # Also drawn with `even`, so that both modes begin with the same days.
+        restart = self._rng.random() < RESTART_SHARE
+        if (
+            self._even
+            or restart
+            or self._drawn <= INITIAL_DRAWS
+            or not self.kept
+        ):
             start = self._rng.choice(self._starts)
             changed = self._mutator.randomize(self._rng, start)
             return Trial(self._drawn, 0, changed.description, changed.day)
-        # The nearer of two, so that the best ones are changed most often.
+        # The closer of two random days, to mutate the best ones most often.
         ranks = range(len(self.kept))
         rank = min(self._rng.choice(ranks), self._rng.choice(ranks))
         parent = self.kept[rank].trial
@@ -107,9 +116,9 @@
         )
 
     def record(self, played: TrialResult) -> None:
-        """Take note of a play; called in the order of the trials."""
+        """Add a result; must be called in the order of the trials."""
         if played.play.died:
             return
         self.kept.append(played)
-        self.kept.sort(key=lambda each: sum_distances(each.play, self._rules))
+        self.kept.sort(key=lambda kept: sum_distances(kept.play, self._rules))
         del self.kept[MAX_KEPT:]
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of real gateways under faults from outside."""
+"""Randomized soak test of real gateway processes with fault injection."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the soak: plays seeds and reports what did not hold."""
+"""Command line of the soak test: runs seeds and reports broken promises."""
 
 import asyncio
 import shutil
@@ -24,19 +24,20 @@
 from soak.system import SoakSystem
 
 SETTLE_SECONDS = 6.0
-"""Calm time before all must be served again: a lost store connection is
-noticed within three, and entries are written anew within two."""
+"""Time without faults before all calls must be served again: gateways notice
+a lost store connection within 3 seconds, and runners renew their entries
+within 2."""
 
 
 class Options(NamedTuple):
-    """Size of one soak.
+    """Size of one soak run.
 
     Attributes:
-        gateways: Processes of the product.
-        runners: Runners of each of two services.
-        callers: Callers at once.
-        seconds: Time in which disturbances come.
-        pause: Mean seconds between two disturbances.
+        gateways: Number of gateway processes.
+        runners: Number of runners of each of two services.
+        callers: Number of concurrent callers.
+        seconds: Seconds in which faults are injected.
+        pause: Mean seconds between the starts of two faults.
     """
 
     gateways: int
@@ -47,7 +48,14 @@
 
 
 class Result(NamedTuple):
-    """What one seed gave."""
+    """Result of one seed.
+
+    Attributes:
+        seed: The seed.
+        steps: Injected faults.
+        outcomes: Number of attempts by kind and status.
+        findings: Promises that did not hold.
+    """
 
     seed: int
     steps: list[PlannedFault]
@@ -56,7 +64,7 @@
 
 
 async def play(seed: int, options: Options, keep: Path) -> Result:
-    """Play one seed; logs are kept if something did not hold."""
+    """Run one seed; keep the logs in ``keep`` if there are findings."""
     rng = Random(seed)
     steps = plan_faults(rng, options.seconds, options.pause)
     async with SoakSystem(options.gateways, options.runners) as system:
@@ -73,31 +81,33 @@
         findings += check_duties(system)
         findings += await check_recovery(system, callers)
         if findings:
-            _keep(system, seed, findings, keep)
+            _save_findings(system, seed, findings, keep)
     outcomes = Counter(
-        f"{each.kind} {each.status if each.whole else 'cut'}"
-        for each in callers.attempts
+        f"{attempt.kind} {attempt.status if attempt.whole else 'cut'}"
+        for attempt in callers.attempts
     )
     return Result(seed, steps, outcomes, findings)
 
 
-def _keep(
+def _save_findings(
     system: SoakSystem, seed: int, findings: list[Finding], keep: Path
 ) -> None:
     folder = keep / f"seed-{seed}"
     folder.mkdir(parents=True, exist_ok=True)
     for process in system.gateways:
         shutil.copy(process.log, folder)
-    lines = [f"{each.promise}: {each.detail}" for each in findings]
+    lines = [f"{finding.promise}: {finding.detail}" for finding in findings]
     lines += [str(span) for span in system.spans]
     (folder / "findings.txt").write_text("\n".join(lines) + "\n")
 
 
 @click.command()
-@click.option("--seed", "seeds", type=int, multiple=True, help="Play these.")
-@click.option("--fresh", default=0, help="Play so many seeds drawn now.")
-@click.option("--first", default=0, help="First of --count seeds in a row.")
-@click.option("--count", default=0, help="Play so many seeds in a row.")
+@click.option(
+    "--seed", "seeds", type=int, multiple=True, help="Seed to run; repeatable."
+)
+@click.option("--fresh", default=0, help="Number of random seeds to run.")
+@click.option("--first", default=0, help="First of --count consecutive seeds.")
+@click.option("--count", default=0, help="Number of consecutive seeds to run.")
 @click.option("--gateways", default=4, show_default=True)
 @click.option("--runners", default=3, show_default=True)
 @click.option("--callers", default=12, show_default=True)
@@ -112,7 +122,7 @@
     keep: Path,
     **sizes: float,
 ) -> None:
-    """Play seeds of the soak, one after the other.
+    """Run seeds of the soak test, one after the other.
 
     Example: python -m soak --first 1 --count 50
     """
@@ -134,8 +144,8 @@
         f"seed {result.seed}: {dict(sorted(what.items()))} "
         f"answers {dict(sorted(result.outcomes.items()))}"
     )
-    for each in result.findings:
-        click.echo(f"  NOT HELD {each.promise}: {each.detail}")
+    for finding in result.findings:
+        click.echo(f"  NOT HELD {finding.promise}: {finding.detail}")
 
 
 if __name__ == "__main__":
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and what they see."""
+"""Load generator of the soak test: callers with persistent connections."""
 
 import asyncio
 import time
@@ -13,11 +13,11 @@
 
 DEADLINE_SECONDS = {"book": 2.0, "check": 2.0, "draft": 4.0, "reply": 3.0}
 EXTRA_WAIT_SECONDS = 2.0
-"""How long callers listen beyond their deadline, to see what comes late."""
+"""Time that callers wait beyond their deadline, to observe late answers."""
 PAUSE_SECONDS = 0.15
-"""Mean pause of a caller between two attempts."""
+"""Mean pause of each caller between two attempts."""
 PROBE_INTERVAL_SECONDS = 0.25
-"""Pause between looks at which configuration is in force."""
+"""Pause between probes of the configuration in force."""
 _METHODS: dict[CallKind, str] = {
     "book": "POST",
     "check": "GET",
@@ -27,11 +27,11 @@
 
 
 class Callers:
-    """Sends attempts until told to stop.
+    """Sends attempts and probes until stopped.
 
     Attributes:
-        attempts: What was seen, in the order of the ends.
-        probes: Which routes were there, in the order of asking.
+        attempts: Attempts, in the order in which they ended.
+        probes: Probes of recent configurations, in order.
     """
 
     def __init__(self, system: SoakSystem, rng: Random) -> None:
@@ -43,17 +43,17 @@
         self.probes: list[Probe] = []
 
     async def run(self, callers: int) -> None:
-        """Call from some callers at once until `stop`."""
+        """Run this number of concurrent callers until `stop`."""
         async with asyncio.TaskGroup() as group:
             for _ in range(callers):
-                group.create_task(self._call_on())
-            group.create_task(self._probe_on())
+                group.create_task(self._call_repeatedly())
+            group.create_task(self._probe_repeatedly())
 
     def stop(self) -> None:
-        """Send nothing more; what is open is still waited for."""
+        """Send no more attempts; `run` still waits for the open ones."""
         self._stopping = True
 
-    async def _call_on(self) -> None:
+    async def _call_repeatedly(self) -> None:
         client = Client()
         while not self._stopping:
             kind = self._rng.choice(CALL_KINDS)
@@ -66,14 +66,14 @@
     async def call(
         self, client: Client, kind: CallKind, gateway: int
     ) -> Attempt:
-        """Send one attempt and return what came of it."""
+        """Send one attempt to a gateway and return its outcome."""
         self._number += 1
         id_ = f"attempt-{self._number}"
         path = f"/{kind}/{self._number}"
         deadline = DEADLINE_SECONDS[kind]
         prompt = 200 if kind in ("draft", "reply") else 0
         sent = time.monotonic()
-        begun = Attempt(
+        unanswered = Attempt(
             id=id_,
             kind=kind,
             gateway=gateway,
@@ -96,15 +96,15 @@
                 )
                 answer, whole = await _read(stream)
         except (CallFailedError, TimeoutError):
-            return begun._replace(ended=time.monotonic())
-        return begun._replace(
+            return unanswered._replace(ended=time.monotonic())
+        return unanswered._replace(
             ended=time.monotonic(),
             status=answer.status,
             whole=whole,
-            wrong=_find_wrong(answer, whole, id_, kind, path),
+            wrong=_find_mismatch(answer, whole, id_, kind, path),
         )
 
-    async def _probe_on(self) -> None:
+    async def _probe_repeatedly(self) -> None:
         client = Client()
         while not self._stopping:
             for gateway in range(len(self._system.gateways)):
@@ -124,7 +124,7 @@
 
 
 async def probe_route(client: Client, entry: Address, version: int) -> int:
-    """Return the status at the route that a version added; 0 for none."""
+    """Return the status of the route that a version added; 0 on failure."""
     headers = make_caller_headers(f"probe-{time.monotonic_ns()}", 0.5)
     try:
         answer = await client.call(
@@ -136,7 +136,7 @@
 
 
 async def _read(stream: Stream) -> tuple[Response, bool]:
-    """Return an answer as far as it came, and whether it was whole."""
+    """Return the received part of an answer and whether it is complete."""
     body = b""
     try:
         await stream.receive_head()
@@ -149,7 +149,7 @@
     return Response(stream.status, stream.headers, body), True
 
 
-def _find_wrong(
+def _find_mismatch(
     answer: Response, whole: bool, id_: str, kind: CallKind, path: str
 ) -> str:
     if answer.status != 200:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Seeded series of disturbances that overlap, and how each is done."""
+"""Fault injection: seeded schedules of faults that may overlap."""
 
 import asyncio
 import signal
@@ -14,19 +14,19 @@
 from soak.system import DRAIN_SECONDS, RunnerSlot, SoakSystem
 
 QUIET_START_SECONDS = 0.5
-"""Time without disturbance at the start."""
+"""Time without faults at the start."""
 MAX_FAULT_SECONDS = 3.0
-"""Longest disturbance: longer than most time-outs of the gateways."""
+"""Longest fault: exceeds most timeouts of the gateways."""
 OUTAGE_DURATION_FACTOR = 3.0
-"""How much longer than others outages of the store last: some of them are to
-hold several of the gateways' calls."""
+"""Factor on the duration of store outages, so that some of them outlast
+several of the gateways' calls."""
 STOP_TIMEOUT_SECONDS = 12.0
-"""Longest wait for a gateway that was told to stop: its grace and half."""
+"""Longest wait for a gateway to stop: 1.5 times its grace period."""
 RESTART_DELAY_SECONDS = 0.5
-"""Pause after which the platform starts a process again."""
+"""Delay after which the platform restarts a process."""
 INTERPRETER_START_SECONDS = 0.5
-"""Longest start of the interpreter, before the gateway's first line."""
-_HARMS: tuple[LinkFault, ...] = (
+"""Longest start of the interpreter, before the gateway's code runs."""
+_LINK_FAULTS: tuple[LinkFault, ...] = (
     "delay",
     "reset",
     "one_way",
@@ -34,20 +34,20 @@
     "forgotten",
 )
 _OUTAGES: tuple[Outage, ...] = ("busy", "silent", "reset", "lost")
-_FAULTS: tuple[RunnerFault, ...] = tuple(
+_RUNNER_FAULTS: tuple[RunnerFault, ...] = tuple(
     fault for fault in get_args(RunnerFault) if fault not in ("none", "crash")
 )
-"""What runners do wrong; crashes are disturbances of their own."""
+"""Faults of runners; crashes have an action of their own."""
 
 
 class PlannedFault(NamedTuple):
-    """One disturbance to come.
+    """One scheduled fault.
 
     Attributes:
-        at: Seconds from the start.
-        what: Name of the disturbance, a key of ``ACTIONS``.
-        seconds: How long it lasts.
-        draw: Number that chooses whom it hits, and how.
+        at: Seconds from the start of the run.
+        what: Kind of fault, a key of ``FAULT_ACTIONS``.
+        seconds: Duration.
+        seed: Seed from which the target and the variant are drawn.
     """
 
     at: float
@@ -59,12 +59,13 @@
 def plan_faults(
     rng: Random, seconds: float, pause: float
 ) -> list[PlannedFault]:
-    """Draw the disturbances of one soak.
+    """Draw the faults of one soak run.
 
     Args:
         rng: Seeded generator.
-        seconds: Time in which they begin and end.
-        pause: Mean pause between two; the shorter, the more overlap.
+        seconds: Time within which the faults begin and end.
+        pause: Mean seconds between the starts of two faults; shorter pauses
+            make more faults overlap.
     """
     steps = []
     at = QUIET_START_SECONDS
@@ -77,24 +78,24 @@
 
 
 async def inject_faults(system: SoakSystem, steps: list[PlannedFault]) -> None:
-    """Do all steps at their times, and end what they began."""
+    """Inject all faults at their times and wait until they are over."""
     started = time.monotonic()
     async with asyncio.TaskGroup() as group:
         for step in steps:
-            group.create_task(_carry_out(system, step, started))
+            group.create_task(_inject(system, step, started))
 
 
-async def _carry_out(
+async def _inject(
     system: SoakSystem, step: PlannedFault, started: float
 ) -> None:
     await asyncio.sleep(max(0.0, started + step.at - time.monotonic()))
     begin = time.monotonic()
-    whom = await FAULT_ACTIONS[step.what](system, step, Random(step.seed))
-    system.spans.append(Span(step.what, whom, begin, time.monotonic()))
+    target = await FAULT_ACTIONS[step.what](system, step, Random(step.seed))
+    system.spans.append(Span(step.what, target, begin, time.monotonic()))
 
 
-async def _harm(proxy: Proxy, step: PlannedFault, rng: Random) -> None:
-    proxy.set_fault(rng.choice(_HARMS))
+async def _disturb_link(proxy: Proxy, step: PlannedFault, rng: Random) -> None:
+    proxy.set_fault(rng.choice(_LINK_FAULTS))
     await asyncio.sleep(step.seconds)
     proxy.set_fault("none")
 
@@ -102,7 +103,9 @@
 # Gateways
 
 
-async def _kill(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
+async def _kill_gateway(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     number = rng.randrange(len(system.gateways))
     process = system.gateways[number]
     if process.is_running():
@@ -114,7 +117,9 @@
     return process.name
 
 
-async def _herd(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
+async def _kill_half(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     """Kill half of the gateways at once."""
     numbers = rng.sample(
         range(len(system.gateways)), max(1, len(system.gateways) // 2)
@@ -128,8 +133,10 @@
     return "half"
 
 
-async def _stop(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    """Stop a gateway as planned and start it again."""
+async def _stop_gateway(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    """Stop a gateway gracefully and restart it."""
     number = rng.randrange(len(system.gateways))
     process = system.gateways[number]
     if process.is_running():
@@ -140,7 +147,9 @@
     return process.name
 
 
-async def _pause(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
+async def _freeze_gateway(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     process = rng.choice(system.gateways)
     process.send(signal.SIGSTOP)
     await asyncio.sleep(step.seconds)
@@ -148,8 +157,10 @@
     return process.name
 
 
-async def _reload(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    """Change a gateway's settings, with or without the signal."""
+async def _reload_gateway(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    """Change a gateway's settings, with or without sending SIGHUP."""
     number = rng.randrange(len(system.gateways))
     path = system.settings[number]
     grace = f"grace_s = {rng.choice([7, 8, 9])}"
@@ -163,26 +174,29 @@
 
 
 async def _start_after_early_signal(system: SoakSystem, number: int) -> None:
-    """Start a gateway again whose interpreter had not started yet.
+    """Restart a gateway that SIGHUP ended while its interpreter started.
 
-    Nothing of the gateway's can handle a signal by then. The platform starts
-    processes that end again; whichever ends later stays down and is found.
+    The gateway cannot install a signal handler before its code runs, so the
+    platform's restart is simulated here. A gateway that ends later than that
+    stays down and shows up as a finding.
     """
-    told = time.monotonic()
+    signaled = time.monotonic()
     await asyncio.sleep(RESTART_DELAY_SECONDS)
     process = system.gateways[number]
-    early = told - system.started[number] < INTERPRETER_START_SECONDS
+    early = signaled - system.started[number] < INTERPRETER_START_SECONDS
     if early and not process.is_running():
         system.start_gateway(number)
         now = time.monotonic()
-        system.spans.append(Span("kill", process.name, told, now))
+        system.spans.append(Span("kill", process.name, signaled, now))
 
 
 # The store
 
 
-async def _outage(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    """Let the store fail, and often change something as it returns."""
+async def _fail_store(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    """Make the store fail; half the time, change the configuration after."""
     system.store.outage = rng.choice(_OUTAGES)
     await asyncio.sleep(OUTAGE_DURATION_FACTOR * step.seconds)
     system.store.outage = "none"
@@ -191,16 +205,20 @@
     return "store"
 
 
-async def _compact(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
+async def _compact_store(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     system.store.compact_history()
     return "store"
 
 
-async def _drill(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    """Let the store come back from an older copy, at times twice.
+async def _restore_store(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    """Restore the store from an older backup, sometimes twice.
 
-    Runners write their entries again at times of their own, and entries that
-    are in the copy alone lapse.
+    Runners renew their entries at their own times. Entries of runners that
+    ended before the restore expire.
     """
     for _ in range(rng.choice([1, 1, 2])):
         system.store.outage = rng.choice(_OUTAGES)
@@ -212,17 +230,19 @@
     return "store"
 
 
-async def _cut_store(
+async def _disturb_store_link(
     system: SoakSystem, step: PlannedFault, rng: Random
 ) -> str:
-    """Harm one gateway's way to the store."""
+    """Disturb the connections of one gateway to the store."""
     number = rng.randrange(len(system.store_proxies))
-    await _harm(system.store_proxies[number], step, rng)
+    await _disturb_link(system.store_proxies[number], step, rng)
     return system.gateways[number].name
 
 
-async def _change(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    """Put one or some new configurations in force."""
+async def _change_configuration(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    """Write 1 or 4 new configurations."""
     for _ in range(rng.choice([1, 1, 4])):
         await system.configure(system.version + 1)
         await asyncio.sleep(0.1)
@@ -232,77 +252,86 @@
 # Runners
 
 
-async def _harm_runner(
+async def _disturb_runner_link(
     system: SoakSystem, step: PlannedFault, rng: Random
 ) -> str:
-    place = rng.choice(system.runners)
-    await _harm(place.proxy, step, rng)
-    return place.runner.id
+    slot = rng.choice(system.runners)
+    await _disturb_link(slot.proxy, step, rng)
+    return slot.runner.id
 
 
-async def _fault(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
+async def _inject_runner_fault(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
     runner = rng.choice(system.runners).runner
-    runner.fault = rng.choice(_FAULTS)
+    runner.fault = rng.choice(_RUNNER_FAULTS)
     await asyncio.sleep(step.seconds)
     runner.fault = "none"
     return runner.id
 
 
-async def _crash(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    place = _choose_ready(system, rng)
-    if place is None:
+async def _crash_runner(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    slot = _choose_ready(system, rng)
+    if slot is None:
         return ""
-    id_ = place.runner.id
-    place.state = "down"
-    await place.runner.close()
+    id_ = slot.runner.id
+    slot.state = "down"
+    await slot.runner.close()
     await asyncio.sleep(step.seconds)
     await system.delete_entry(id_)
-    await place.replace()
-    await system.register(place)
+    await slot.replace()
+    await system.register(slot)
     return id_
 
 
-async def _leave(system: SoakSystem, step: PlannedFault, rng: Random) -> str:
-    """Let a runner leave as planned; a new one takes its place."""
-    place = _choose_ready(system, rng)
-    if place is None:
+async def _drain_runner(
+    system: SoakSystem, step: PlannedFault, rng: Random
+) -> str:
+    """Drain a runner and replace it by a new one."""
+    slot = _choose_ready(system, rng)
+    if slot is None:
         return ""
-    id_ = place.runner.id
-    await system.drain(place)
+    id_ = slot.runner.id
+    await system.drain(slot)
     await asyncio.sleep(DRAIN_SECONDS + 1.0)
-    place.state = "down"
+    slot.state = "down"
     await system.delete_entry(id_)
-    await place.replace()
-    await system.register(place)
+    await slot.replace()
+    await system.register(slot)
     return id_
 
 
 def _choose_ready(system: SoakSystem, rng: Random) -> RunnerSlot | None:
-    """Return a runner that may go: another one of its service stays."""
-    place = rng.choice(system.runners)
+    """Return a slot whose runner may stop, or None.
+
+    Another ready runner of the service must remain.
+    """
+    slot = rng.choice(system.runners)
     ready = [
-        each
-        for each in system.runners
-        if each.service == place.service and each.state == "ready"
+        other
+        for other in system.runners
+        if other.service == slot.service and other.state == "ready"
     ]
-    return place if place in ready and len(ready) > 1 else None
+    return slot if slot in ready and len(ready) > 1 else None
 
 
 FAULT_ACTIONS: dict[
     str, Callable[[SoakSystem, PlannedFault, Random], Awaitable[str]]
 ] = {
-    "change": _change,
-    "compact": _compact,
-    "crash": _crash,
-    "cut_store": _cut_store,
-    "drill": _drill,
-    "fault": _fault,
-    "harm_runner": _harm_runner,
-    "herd": _herd,
-    "kill": _kill,
-    "leave": _leave,
-    "outage": _outage,
-    "pause": _pause,
-    "reload": _reload,
-    "stop": _stop,
+    "change": _change_configuration,
+    "compact": _compact_store,
+    "crash": _crash_runner,
+    "cut_store": _disturb_store_link,
+    "drill": _restore_store,
+    "fault": _inject_runner_fault,
+    "harm_runner": _disturb_runner_link,
+    "herd": _kill_half,
+    "kill": _kill_gateway,
+    "leave": _drain_runner,
+    "outage": _fail_store,
+    "pause": _freeze_gateway,
+    "reload": _reload_gateway,
+    "stop": _stop_gateway,
 }
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,4 +1,4 @@
-"""What must hold, checked from what callers and back ends saw."""
+"""Promises of the system, checked against what callers and runners saw."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -18,12 +18,12 @@
 from soak.system import APPLY_SECONDS, DRAIN_SECONDS, SoakSystem
 
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""Statuses that promise that a request has not run."""
+"""Statuses that guarantee that a request has not run."""
 RECOVERY_SECONDS = 3.0
-"""Time after a disturbance in which bounds of time are not promised."""
+"""Time after a fault in which time bounds are not promised."""
 DEADLINE_SLACK_SECONDS = 1.0
-"""How far behind its deadline a final answer may come: what this machine may
-be slow, as all processes of a soak share it."""
+"""Allowed delay of an answer beyond its deadline: all processes of a soak run
+share one machine, which may be slow."""
 GATEWAY_FAULTS = frozenset(("kill", "herd", "pause", "stop"))
 PROPAGATION_FAULTS = GATEWAY_FAULTS | {
     "outage",
@@ -31,29 +31,38 @@
     "compact",
     "drill",
 }
-"""Disturbances under which news of runners may be late."""
+"""Faults that may delay updates from the store to the gateways."""
 RUNNER_FAULTS = frozenset(("crash", "fault", "harm_runner"))
 MIN_SERVED_RATIO = 0.9
-"""Part of the calls that is served once all is calm again."""
+"""Share of calls that must be served after the faults are over."""
 MIN_HANDBACK_SECONDS = Bounds().lease_seconds
-"""Time in which no holder may act, another one act and the first act again."""
+"""Least time between two calls of a lease holder if another holder makes a
+call in between."""
 RECOVERY_CALLS = 5
-"""Calls of each kind at each gateway when all is calm again."""
+"""Calls of each kind to each gateway after the faults are over."""
 
 
-def _near(
+def _has_fault(
     spans: Iterable[Span],
-    what: frozenset[str],
+    kinds: frozenset[str],
     begin: float,
     end: float,
-    whom: str = "",
+    target: str = "",
 ) -> bool:
-    """Tell whether a disturbance reaches into a time."""
+    """Return whether a fault or its recovery overlaps a time interval.
+
+    Args:
+        spans: Faults of the run.
+        kinds: Kinds of faults to consider.
+        begin: Start of the interval.
+        end: End of the interval.
+        target: Gateway that the fault must affect; empty for any target.
+    """
     return any(
-        span.what in what
+        span.what in kinds
         and span.begin < end
         and span.end > begin - RECOVERY_SECONDS
-        and (not whom or span.whom in (whom, "half", "store"))
+        and (not target or span.whom in (target, "half", "store"))
         for span in spans
     )
 
@@ -61,78 +70,81 @@
 def check_attempts(
     system: SoakSystem, attempts: Iterable[Attempt]
 ) -> list[Finding]:
-    """Check what each caller got."""
+    """Check the outcome of each attempt."""
     runs = system.count_runs()
     found = []
-    for each in attempts:
-        ran = runs.get(each.id, 0)
-        if each.kind in AT_MOST_ONCE_KINDS and ran > 1:
-            found.append(Finding("at most once", f"{each} ran {ran} times"))
+    for attempt in attempts:
+        ran = runs.get(attempt.id, 0)
+        if attempt.kind in AT_MOST_ONCE_KINDS and ran > 1:
+            found.append(Finding("at most once", f"{attempt} ran {ran} times"))
         if (
-            each.status in NOT_RUN_STATUSES
-            and each.kind in AT_MOST_ONCE_KINDS
+            attempt.status in NOT_RUN_STATUSES
+            and attempt.kind in AT_MOST_ONCE_KINDS
             and ran
         ):
-            found.append(Finding("refused is not run", f"{each} ran {ran}"))
-        if each.wrong:
-            found.append(Finding("its own whole answer", str(each)))
-        if _is_late(system, each):
-            found.append(Finding("a final answer in time", str(each)))
-        if _is_cut_by_stop(system, each):
-            found.append(Finding("a planned stop cuts nothing", str(each)))
+            found.append(Finding("refused is not run", f"{attempt} ran {ran}"))
+        if attempt.wrong:
+            found.append(Finding("its own whole answer", str(attempt)))
+        if _is_late(system, attempt):
+            found.append(Finding("a final answer in time", str(attempt)))
+        if _is_cut_by_stop(system, attempt):
+            found.append(Finding("a planned stop cuts nothing", str(attempt)))
     return found
 
 
-def _name(attempt: Attempt) -> str:
+def _name_gateway(attempt: Attempt) -> str:
     return f"gateway-{attempt.gateway + 1}"
 
 
 def _is_late(system: SoakSystem, attempt: Attempt) -> bool:
     if attempt.ended <= attempt.due + DEADLINE_SLACK_SECONDS:
         return False
-    return not _near(
+    return not _has_fault(
         system.spans,
         GATEWAY_FAULTS,
         attempt.sent,
         attempt.ended,
-        _name(attempt),
+        _name_gateway(attempt),
     )
 
 
 def _is_cut_by_stop(system: SoakSystem, attempt: Attempt) -> bool:
-    """Tell whether a request that was sent before a stop was cut off by it.
+    """Return whether a planned stop cut off a request sent before it.
 
-    Only where nothing else can be the reason: no runner was harmed, and the
-    process was neither killed nor frozen meanwhile.
+    Only if nothing else can be the cause: no runner had a fault or was
+    drained, and the gateway was neither killed nor frozen meanwhile.
     """
     if attempt.whole or attempt.status not in (0, 200):
         return False
     begin, end = attempt.sent, attempt.ended
     stopped = any(
         span.what == "stop"
-        and span.whom == _name(attempt)
+        and span.whom == _name_gateway(attempt)
         and begin < span.begin < end
         for span in system.spans
     )
     others = GATEWAY_FAULTS - {"stop"} | RUNNER_FAULTS | {"leave"}
-    return stopped and not _near(system.spans, others, begin, end)
+    return stopped and not _has_fault(system.spans, others, begin, end)
 
 
 def check_draining(system: SoakSystem) -> list[Finding]:
-    """Check that runners that leave get no new work after the bound."""
-    left = {drain.runner: drain.at for drain in system.drains}
+    """Check that draining runners get no new work after the bound."""
+    drained_at = {drain.runner: drain.at for drain in system.drains}
 
     def is_late(runner: str, at: float) -> bool:
-        acknowledged = left.get(runner)
+        acknowledged = drained_at.get(runner)
         if acknowledged is None or at <= acknowledged + DRAIN_SECONDS:
             return False
-        # What gateways knew before a drill holds in it and after.
-        known = acknowledged + DRAIN_SECONDS
+        # Once gateways know of the drain, a restore of the store must not
+        # make them forget it.
+        known_at = acknowledged + DRAIN_SECONDS
         return not (
-            _near(
+            _has_fault(
                 system.spans, PROPAGATION_FAULTS - {"drill"}, acknowledged, at
             )
-            or _near(system.spans, frozenset({"drill"}), acknowledged, known)
+            or _has_fault(
+                system.spans, frozenset({"drill"}), acknowledged, known_at
+            )
         )
 
     return [
@@ -142,24 +154,24 @@
 
 
 def check_configuration(callers: Callers) -> list[Finding]:
-    """Check that no process goes back to an older configuration."""
+    """Check that no gateway process reverts to an older configuration."""
     newest: dict[tuple[int, int], int] = {}
     found = []
     for probe in callers.probes:
         key = (probe.gateway, probe.run)
-        seen = newest.get(key, 0)
-        if probe.found and probe.version < seen:
-            detail = f"{probe} after version {seen}"
+        latest = newest.get(key, 0)
+        if probe.found and probe.version < latest:
+            detail = f"{probe} after version {latest}"
             found.append(Finding("never reverts", detail))
         if probe.found:
-            newest[key] = max(seen, probe.version)
+            newest[key] = max(latest, probe.version)
     return found
 
 
 def check_applied_in_time(
     system: SoakSystem, callers: Callers
 ) -> list[Finding]:
-    """Check that a newer configuration is in force once its time is over."""
+    """Check that each configuration is applied within `APPLY_SECONDS`."""
     return [
         Finding("in force in time", f"{probe}")
         for probe in callers.probes
@@ -168,11 +180,12 @@
 
 
 def _is_overdue(system: SoakSystem, probe: Probe) -> bool:
-    """Tell whether a route that was not there ought to have been.
+    """Return whether a missing route should have been present.
 
-    The next version drops it, so that one may not have been sent yet.
+    The next version removes the route, so a probe counts only if that
+    version was written later.
     """
-    acknowledged = {each.version: each.at for each in system.changes}
+    acknowledged = {change.version: change.at for change in system.changes}
     at = acknowledged.get(probe.version)
     following = acknowledged.get(probe.version + 1, math.inf)
     if at is None or not at + APPLY_SECONDS < probe.at:
@@ -180,13 +193,13 @@
     if following <= probe.at + DEADLINE_SLACK_SECONDS:
         return False
     name = f"gateway-{probe.gateway + 1}"
-    return not _near(
+    return not _has_fault(
         system.spans, PROPAGATION_FAULTS, probe.at, probe.at, name
     )
 
 
 def check_duties(system: SoakSystem) -> list[Finding]:
-    """Check that duties have one holder, whatever the store lost."""
+    """Check that each duty has one lease holder, even after restores."""
     holders: dict[int, set[str]] = {}
     for _, holder, fence, _ in system.cloud.calls:
         holders.setdefault(fence, set()).add(holder)
@@ -199,33 +212,29 @@
         Finding("a window has one count", f"{window}")
         for window in system.cloud.conflicts
     ]
-    return found + _check_turns(system.cloud.accepted_calls)
+    return found + _check_handbacks(system.cloud.accepted_calls)
 
 
-def _check_turns(acts: Sequence[AcceptedCall]) -> list[Finding]:
-    """Check that no holder acts again soon after another one has."""
+def _check_handbacks(calls: Sequence[AcceptedCall]) -> list[Finding]:
+    """Check that a duty does not return to a holder within the bound."""
     found = []
-    latest: dict[object, str] = {}
-    last: dict[object, float] = {}
-    for at, subject, holder in acts:
-        before = last.get((subject, holder))
-        turned = latest.get(subject, holder) != holder
-        if (
-            turned
-            and before is not None
-            and at < before + MIN_HANDBACK_SECONDS
-        ):
-            text = f"{holder} after {at - before:.3f} s on {subject}"
+    holders: dict[object, str] = {}
+    last_calls: dict[object, float] = {}
+    for at, subject, holder in calls:
+        last = last_calls.get((subject, holder))
+        changed = holders.get(subject, holder) != holder
+        if changed and last is not None and at < last + MIN_HANDBACK_SECONDS:
+            text = f"{holder} after {at - last:.3f} s on {subject}"
             found.append(Finding("holders do not come back at once", text))
-        latest[subject] = holder
-        last[subject, holder] = at
+        holders[subject] = holder
+        last_calls[subject, holder] = at
     return found
 
 
 async def check_recovery(
     system: SoakSystem, callers: Callers
 ) -> list[Finding]:
-    """Check that all is served again everywhere, by the newest version."""
+    """Check that every gateway serves calls by the newest configuration."""
     found = []
     client = Client()
     for number, entry in enumerate(system.entries):
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections that go through it."""
+"""A loopback TCP proxy that injects link faults."""
 
 import asyncio
 from typing import Literal
@@ -6,48 +6,53 @@
 from lagoonpost.http.message import Address
 
 LinkFault = Literal["none", "delay", "reset", "one_way", "silent", "forgotten"]
-"""What happens to connections: bytes come late, all are reset, answers don't
-come back, nothing passes in either direction, or those that are open now stay
-silent for good while new ones work."""
+"""Faults of the proxied connections:
+
+- delay: bytes arrive late
+- reset: all connections are reset
+- one_way: bytes from the target are held back
+- silent: bytes in both directions are held back
+- forgotten: connections open now stay silent for good, new ones work
+"""
 DELAY_SECONDS = 0.3
-"""How late bytes come: 100 times a way between failure domains."""
+"""Added delay: 100 times the latency between failure domains."""
 READ_BYTES = 65536
 
 
 class _Link:
-    """One connection of a caller and its way on."""
+    """A client connection and its connection to the target."""
 
     def __init__(
-        self, near: asyncio.StreamWriter, far: asyncio.StreamWriter
+        self, client: asyncio.StreamWriter, target: asyncio.StreamWriter
     ) -> None:
-        self.writers = (near, far)
+        self.writers = (client, target)
         self.forgotten = False
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Reset both connections."""
         for writer in self.writers:
             writer.transport.abort()
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Attributes:
-        target: Where connections lead.
-        address: Where it listens, once started.
+        target: Address to which connections are forwarded.
+        address: Address on which the proxy listens, once started.
     """
 
     def __init__(self, target: Address) -> None:
         self.target = target
         self.address = Address("127.0.0.1", 0)
-        self._harm: LinkFault = "none"
+        self._fault: LinkFault = "none"
         self._links: set[_Link] = set()
         self._changed = asyncio.Event()
         self._closed = False
         self._server: asyncio.Server | None = None
 
     async def start(self) -> Address:
-        """Listen on a free port."""
+        """Listen on a free port and return the address."""
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", 0, limit=READ_BYTES
         )
@@ -55,19 +60,19 @@
         self.address = Address("127.0.0.1", int(port))
         return self.address
 
-    def set_fault(self, harm: LinkFault) -> None:
-        """Do something else to connections from now on."""
-        self._harm = harm
-        if harm in ("reset", "forgotten"):
+    def set_fault(self, fault: LinkFault) -> None:
+        """Apply a fault to open and new connections, in place of any other."""
+        self._fault = fault
+        if fault in ("reset", "forgotten"):
             for link in list(self._links):
                 link.forgotten = True
-                if harm == "reset":
+                if fault == "reset":
                     link.abort()
         self._changed.set()
         self._changed = asyncio.Event()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop and reset all connections."""
         if self._server is not None:
             self._server.close()
         self._closed = True
@@ -78,28 +83,28 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._harm == "reset":
+        if self._fault == "reset":
             writer.transport.abort()
             return
         try:
-            back, there = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self.target.host, self.target.port, limit=READ_BYTES
             )
         except OSError:
             writer.transport.abort()
             return
-        link = _Link(writer, there)
+        link = _Link(writer, target_writer)
         self._links.add(link)
         try:
             await asyncio.gather(
-                self._pump(link, reader, there, outward=True),
-                self._pump(link, back, writer, outward=False),
+                self._copy_bytes(link, reader, target_writer, outward=True),
+                self._copy_bytes(link, target_reader, writer, outward=False),
             )
         finally:
             self._links.discard(link)
             link.abort()
 
-    async def _pump(
+    async def _copy_bytes(
         self,
         link: _Link,
         reader: asyncio.StreamReader,
@@ -108,23 +113,23 @@
     ) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                await self._hold(link, outward)
+                await self._wait_until_passable(link, outward)
                 writer.write(data)
                 await writer.drain()
             if writer.can_write_eof():
                 writer.write_eof()
         except OSError:
-            # The other end is gone; so is the whole connection.
+            # One side has closed its connection: close the other as well.
             link.abort()
 
-    async def _hold(self, link: _Link, outward: bool) -> None:
-        """Wait for as long as nothing may pass."""
-        if self._harm == "delay":
+    async def _wait_until_passable(self, link: _Link, outward: bool) -> None:
+        """Wait while the fault delays or blocks this direction."""
+        if self._fault == "delay":
             await asyncio.sleep(DELAY_SECONDS)
-        while not self._closed and self._is_held(link, outward):
+        while not self._closed and self._is_blocked(link, outward):
             await self._changed.wait()
 
-    def _is_held(self, link: _Link, outward: bool) -> bool:
-        if link.forgotten or self._harm == "silent":
+    def _is_blocked(self, link: _Link, outward: bool) -> bool:
+        if link.forgotten or self._fault == "silent":
             return True
-        return self._harm == "one_way" and not outward
+        return self._fault == "one_way" and not outward
--- a/soak/record.py
+++ b/soak/record.py
@@ -1,27 +1,27 @@
-"""What callers saw, and which disturbances there were, by the steady clock."""
+"""Records of a soak run; all times are seconds of the monotonic clock."""
 
 from typing import Literal, NamedTuple
 
 CallKind = Literal["book", "check", "draft", "reply"]
 CALL_KINDS: tuple[CallKind, ...] = ("book", "check", "draft", "reply")
 AT_MOST_ONCE_KINDS: frozenset[CallKind] = frozenset(("book", "reply"))
-"""Kinds that may run once at most."""
+"""Kinds of calls that must run at most once."""
 
 
 class Attempt(NamedTuple):
     """One attempt of a caller.
 
     Attributes:
-        id: Its id.
-        kind: What was asked for.
-        gateway: Number of the gateway.
-        run: Which of the gateway's processes was there when it was sent.
-        sent: When it was sent.
-        ended: When its answer was whole, or broke off.
+        id: Attempt id.
+        kind: Kind of the call.
+        gateway: Index of the gateway, from 0.
+        run: Number of the gateway's process at the time of sending, from 1.
+        sent: Time of sending.
+        ended: Time at which the answer was complete or broke off.
         status: Status of the answer; 0 if there was none.
-        whole: Whether the answer ended as it should.
-        wrong: What is wrong with a whole answer, or empty.
-        due: When its caller stops waiting.
+        whole: Whether the answer is complete.
+        wrong: Description of unexpected content; empty if there is none.
+        due: Deadline.
     """
 
     id: str
@@ -37,15 +37,14 @@
 
 
 class Probe(NamedTuple):
-    """Whether a route was there at one process of a gateway.
+    """Whether a gateway process served the route of a configuration.
 
     Attributes:
-        gateway: Number of the gateway.
-        run: Which of its processes.
-        at: When it was asked.
-        version: Version of the configuration that added the route; the next
-            one drops it.
-        found: Whether the route led somewhere.
+        gateway: Index of the gateway, from 0.
+        run: Number of the gateway's process, from 1.
+        at: Time of the request.
+        version: Configuration that added the route; the next one removes it.
+        found: Whether the gateway served the route.
     """
 
     gateway: int
@@ -56,20 +55,21 @@
 
 
 class Change(NamedTuple):
-    """A configuration that was acknowledged at a time."""
+    """A configuration and the time at which the store acknowledged it."""
 
     version: int
     at: float
 
 
 class Span(NamedTuple):
-    """One disturbance.
+    """One injected fault.
 
     Attributes:
-        what: Which kind.
-        whom: Name of what was disturbed.
-        begin: When it began.
-        end: When it was over.
+        what: Kind of fault, a key of ``soak.faults.FAULT_ACTIONS``.
+        whom: Name of the affected gateway or runner; ``half`` for half of
+            the gateways, ``store`` or ``configuration``; empty if none.
+        begin: Start time.
+        end: End time.
     """
 
     what: str
@@ -79,14 +79,14 @@
 
 
 class Drain(NamedTuple):
-    """A runner whose leaving was acknowledged at a time."""
+    """A draining runner and when the store acknowledged the drain."""
 
     runner: str
     at: float
 
 
 class Finding(NamedTuple):
-    """A promise that did not hold."""
+    """A violation of a promise."""
 
     promise: str
     detail: str
--- a/soak/system.py
+++ b/soak/system.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, and all around them as stand-ins in this one."""
+"""System under test: gateway processes, and stand-ins in this process."""
 
 import asyncio
 import tempfile
@@ -27,28 +27,33 @@
 from soak.record import Change, Drain, Span
 
 STREAM_EVENTS = 6
-"""Events of a stream."""
+"""Number of events of a stream."""
 EVENT_SECONDS = 0.05
-"""Pause between events: a stream is long enough to be hit in its middle."""
+"""Pause between events, long enough for faults to occur in mid-stream."""
 DRAIN_SECONDS = 2.0
-"""Bound on new work for a runner that leaves."""
+"""Longest time until a draining runner gets no new work."""
 APPLY_SECONDS = 2.0
-"""Bound on the time until a configuration is in force."""
+"""Longest time until a new configuration is in force."""
 HEARTBEAT_SECONDS = 1.0
-"""Pause between renewals of a runner's entry; each has a time of its own."""
+"""Interval at which a runner's entry is renewed; runners take turns in it."""
 ENTRY_TTL_SECONDS = 2.0
-"""Time in which a runner's entry is gone if nobody writes it anew."""
+"""Time after which the entry of an unknown runner is deleted."""
 START_TIMEOUT_SECONDS = 40.0
-"""Longest time for all gateways to serve; some dozens start side by side."""
+"""Longest time until all gateways serve; dozens may start concurrently."""
 
 
 class RunnerSlot:
-    """One place for runners: each start there is a new one.
+    """An address at which successive runners are started.
 
     Attributes:
-        runner: The one that runs now.
-        past: All that ran here before.
-        proxy: The way to it.
+        service: Service of the runners.
+        number: Number of the slot among those of its service.
+        domain: Failure domain.
+        runner: Current runner.
+        previous: Runners that it replaced, oldest first.
+        proxy: Proxy in front of the current runner.
+        state: State in the runner's entry, or ``down``.
+        seq: Sequence number of the entry's last write.
     """
 
     def __init__(self, service: str, number: int) -> None:
@@ -68,12 +73,12 @@
         return runner
 
     async def start(self) -> None:
-        """Start the first runner here, and the way to it."""
+        """Start the first runner and the proxy in front of it."""
         self.proxy.target = await self.runner.start()
         await self.proxy.start()
 
     async def replace(self) -> None:
-        """End the runner that is here and start a new one."""
+        """Stop the current runner and start a new one."""
         await self.runner.close()
         self.previous.append(self.runner)
         self.runner = self._make(len(self.previous))
@@ -81,32 +86,34 @@
         self.proxy.target = await self.runner.start()
 
     def all_runners(self) -> list[RunnerStandin]:
-        """Return all runners that ever were here."""
+        """Return the previous runners and the current one."""
         return [*self.previous, self.runner]
 
 
 class SoakSystem:
-    """Everything that a soak runs.
+    """Gateways with the runners, the store and the cloud around them.
 
     Args:
         gateways: Number of gateways.
-        runners: Runners of each of two services.
-        metrics: Whether gateways tell their metrics.
+        runners: Number of runners of each of two services.
+        metrics: Whether gateways export metrics.
 
     Attributes:
-        store: Where gateways read and write rows.
-        cloud: Where they report usage.
-        gateways: Processes by number.
-        runs: How often each was started.
-        started: When each was started last.
-        entries: Where callers connect.
-        collected: Where metrics are told.
-        store_links: Each gateway's way to the store.
-        runners: Places of runners.
-        drains: Runners that left, with the time of the acknowledgement.
-        changes: Configurations, in their order.
-        spans: Disturbances so far.
+        store: Metadata store of the gateways.
+        cloud: API to which gateways report usage.
+        gateways: Gateway processes.
+        runs: Number of starts of each gateway.
+        started: Time of each gateway's last start, monotonic clock.
+        entries: Address of each gateway for callers.
+        metrics_addresses: Address of each gateway's metrics, if enabled.
+        settings: Settings file of each gateway.
+        store_proxies: Proxy between each gateway and the store.
+        runners: Slots of runners.
+        drains: Drains of runners, in order.
+        changes: Configurations, in order.
+        spans: Faults that are over.
         version: Newest configuration.
+        folder: Temporary folder of settings and logs.
     """
 
     def __init__(
@@ -145,11 +152,11 @@
         cloud_address = await cloud.start(Address("127.0.0.1", 0))
         self._exit.push_async_callback(store.close, 0.0)
         self._exit.push_async_callback(cloud.close, 0.0)
-        for place in self.runners:
-            await place.start()
-            self._exit.push_async_callback(place.runner.close)
-            self._exit.callback(place.proxy.close)
-            await self.register(place)
+        for slot in self.runners:
+            await slot.start()
+            self._exit.push_async_callback(slot.runner.close)
+            self._exit.callback(slot.proxy.close)
+            await self.register(slot)
         await self.configure(1)
         peers: list[Address] = []
         for number in range(1, self._count + 1):
@@ -161,14 +168,14 @@
         for number in range(self._count):
             self.start_gateway(number)
             self._exit.callback(self.gateways[number].stop)
-        beat = asyncio.create_task(self._send_heartbeats())
-        self._exit.callback(beat.cancel)
+        heartbeats = asyncio.create_task(self._send_heartbeats())
+        self._exit.callback(heartbeats.cancel)
         await self._wait_serving()
         return self
 
     async def __aexit__(self, *error: object) -> None:
         await self._exit.aclose()
-        # Connections that were held back end at the loop's next turns.
+        # Lets the handlers of blocked connections finish.
         await asyncio.sleep(0.1)
 
     def _add_gateway(
@@ -207,7 +214,7 @@
         self.entries.append(addresses.entry)
 
     def start_gateway(self, number: int) -> None:
-        """Start a gateway's process, or start it again."""
+        """Start or restart a gateway's process."""
         self.runs[number] += 1
         self.started[number] = time.monotonic()
         self.gateways[number].start()
@@ -232,10 +239,10 @@
             return False
         return answer.status == 200
 
-    # What operators and runners write
+    # Writes of operators and runners
 
     async def configure(self, version: int) -> None:
-        """Put a configuration in force that adds one route and drops one."""
+        """Write a configuration that adds a route and removes the last one."""
         self.version = version
         await self.write_configuration()
         self.changes.append(Change(version, time.monotonic()))
@@ -249,12 +256,12 @@
         )
 
     async def _expire_entries(self) -> None:
-        """Delete entries of runners that ended, which a copy brought back."""
+        """Delete entries of ended runners that a store restore revived."""
         now = asyncio.get_running_loop().time()
-        known = {place.runner.id for place in self.runners}
-        strange = set(self.store.list_keys("servers")) - known
+        known = {slot.runner.id for slot in self.runners}
+        unknown = set(self.store.list_keys("servers")) - known
         self._unknown_since = {
-            id_: self._unknown_since.get(id_, now) for id_ in strange
+            id_: self._unknown_since.get(id_, now) for id_ in unknown
         }
         for id_, since in self._unknown_since.items():
             if now > since + ENTRY_TTL_SECONDS:
@@ -264,24 +271,24 @@
         """Return the newest version and the one before it."""
         return tuple(v for v in (self.version - 1, self.version) if v > 0)
 
-    async def register(self, place: RunnerSlot) -> None:
-        """Write the entry of the runner at a place."""
-        place.seq += 1
+    async def register(self, slot: RunnerSlot) -> None:
+        """Write the entry of a slot's runner."""
+        slot.seq += 1
         entry = make_entry(
-            place.service,
-            place.proxy.address,
-            place.domain,
-            state=place.state,
-            seq=place.seq,
-            born=len(place.previous) + 1,
+            slot.service,
+            slot.proxy.address,
+            slot.domain,
+            state=slot.state,
+            seq=slot.seq,
+            born=len(slot.previous) + 1,
         )
-        await self.store.put("servers", place.runner.id, entry)
+        await self.store.put("servers", slot.runner.id, entry)
 
-    async def drain(self, place: RunnerSlot) -> None:
-        """Let the runner at a place say that it leaves."""
-        place.state = "draining"
-        await self.register(place)
-        self.drains.append(Drain(place.runner.id, time.monotonic()))
+    async def drain(self, slot: RunnerSlot) -> None:
+        """Announce in its entry that a slot's runner drains."""
+        slot.state = "draining"
+        await self.register(slot)
+        self.drains.append(Drain(slot.runner.id, time.monotonic()))
 
     async def delete_entry(self, id_: str) -> None:
         """Delete a runner's entry."""
@@ -289,19 +296,19 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            for place in self.runners:
+            for slot in self.runners:
                 await asyncio.sleep(HEARTBEAT_SECONDS / len(self.runners))
-                if place.state != "down":
-                    await self.register(place)
+                if slot.state != "down":
+                    await self.register(slot)
                 await self._expire_entries()
 
-    # What was seen
+    # Observations
 
     def count_runs(self) -> dict[str, int]:
-        """Return how often each attempt was begun, over all runners."""
+        """Return the number of runs of each attempt, over all runners."""
         total: dict[str, int] = {}
-        for place in self.runners:
-            for runner in place.all_runners():
+        for slot in self.runners:
+            for runner in slot.all_runners():
                 for id_, count in runner.runs.items():
                     total[id_] = total.get(id_, 0) + count
         return total
@@ -309,11 +316,20 @@
     def find_requests(
         self, is_late: Callable[[str, float], bool]
     ) -> list[tuple[str, str, float]]:
-        """Return runner, attempt and time of requests that ran too late."""
+        """Return runner, attempt and time of late requests that ran.
+
+        Args:
+            is_late: Whether a request was late, by the runner's id and the
+                time of arrival.
+        """
         return [
-            (runner.id, seen.request.header("attempt-id") or "", seen.at)
-            for place in self.runners
-            for runner in place.all_runners()
-            for seen in runner.received
-            if seen.ran and is_late(runner.id, seen.at)
+            (
+                runner.id,
+                received.request.header("attempt-id") or "",
+                received.at,
+            )
+            for slot in self.runners
+            for runner in slot.all_runners()
+            for received in runner.received
+            if received.ran and is_late(runner.id, received.at)
         ]
--- a/test/test_search.py
+++ b/test/test_search.py
@@ -1,4 +1,4 @@
-"""The search for near days: its draws, its lead, and what it keeps."""
+"""Tests the search for days close to a bound: draws, guidance, results."""
 
 import json
 import re
@@ -36,10 +36,10 @@
 
 
 class Landscape:
-    """Plays without a bench: near if two troubles come at two times.
+    """Simulates plays: days are close if two events occur at given times.
 
-    A day on which they are far from these has no margin at all, and the
-    seed of a day moves its margin.
+    If the times are far off, the day has no margin. The seed of a day adds
+    noise to its margin.
     """
 
     def __init__(self, pause: float = 0.0) -> None:
@@ -48,13 +48,15 @@
 
     def play(self, number: int, day: Day) -> Play:
         time.sleep(self._pause.uniform(0, self._most))
-        roll, _, reclaim = (float(each["at"]) for each in day.events)
+        roll, _, reclaim = (float(event["at"]) for event in day.events)
         off = abs(roll - 5.1) + abs(reclaim - 8.2)
         distance = off / 2 + Random(day.seed).uniform(-0.7, 1.0)
         return Play({RETURN_BY_CALLS: distance} if distance < 1.6 else {})
 
 
 class Dying(Landscape):
+    """Fails the fourth play."""
+
     def play(self, number: int, day: Day) -> Play:
         if number == 4:
             raise OSError("no bench")
@@ -66,21 +68,22 @@
 
 
 def count_plays(seed: int, even: bool) -> int:
-    """Return the number of the first play beyond the bound, 400 at most."""
+    """Return the number of the first play past the bound, at most 400."""
     limits = Limits(400, first=True)
     return len(search(make_chooser(seed, even), Landscape(), RULES, limits))
 
 
 def list_days(seed: int, jobs: int, pause: float) -> list[Day]:
+    """Return the days of 40 plays that take up to ``pause`` seconds each."""
     chooser = make_chooser(seed)
     results = search(chooser, Landscape(pause), RULES, Limits(40, jobs=jobs))
-    return [each.trial.day for each in results]
+    return [result.trial.day for result in results]
 
 
 class TestChanges:
     @pytest.mark.parametrize("seed", range(10))
     def test_changed_days_are_valid(self, seed, tmp_path):
-        """Whatever follows on what, a day stays one that can be read."""
+        """Guards against sequences of mutations that yield invalid days."""
         rng, file = Random(seed), tmp_path / "day.toml"
         starts = [START, *(day for file in DAYS for day in read_days(file))]
         mutator = Mutator(starts, UNTIL)
@@ -91,7 +94,7 @@
             assert read_days(file) == [day]
 
     def test_one_thing_changes(self):
-        """All but one of the parts of a day are what they were."""
+        """A mutation leaves all but one part of a day unchanged, or two."""
         rng, mutator = Random(3), Mutator([START], UNTIL)
         for _ in range(100):
             changed = mutator.mutate(rng, START)
@@ -106,7 +109,7 @@
 
 class TestLead:
     def test_it_needs_fewer_plays_than_even_draws(self):
-        """Over seeds, and in most of them."""
+        """Holds for the sum over all seeds and for most seeds."""
         pairs = [
             (count_plays(seed, even=False), count_plays(seed, even=True))
             for seed in range(1, 21)
@@ -116,17 +119,20 @@
         assert sum(led < drawn for led, drawn in pairs) > len(pairs) / 2
 
     def test_a_seed_draws_the_same_days_whichever_play_ends_first(self):
-        """Results are told in the order of the draws."""
+        """Guards against draws that depend on the timing of plays.
+
+        Results must be recorded in the order of the draws.
+        """
         assert list_days(5, jobs=4, pause=0.004) == list_days(5, 4, 0.0)
         assert list_days(5, jobs=4, pause=0.0) != list_days(6, 4, 0.0)
 
     def test_a_play_that_dies_is_kept(self):
-        """It ends nothing, and is no day to go on from."""
+        """A failed play does not end the search and is not mutated further."""
         chooser = make_chooser(2)
         results = search(chooser, Dying(), RULES, Limits(12, jobs=3))
         assert len(results) == 12
         assert results[3].play.died == "OSError: no bench"
-        assert 4 not in {each.trial.number for each in chooser.kept}
+        assert 4 not in {kept.trial.number for kept in chooser.kept}
 
 
 class TestDayFiles:
@@ -179,7 +185,7 @@
 
 class TestCommand:
     def run(self, folder: Path, *more: str):
-        """Search over a program that breaks even seeds and fails at odd."""
+        """Search with a bench that breaks even seeds and fails on odd ones."""
         usages = [
             ("a", make_usage(1.0, 1, holder="a")),
             ("b", make_usage(2.0, 2, holder="b")),
@@ -209,10 +215,10 @@
         assert "'nonsense': no margin has this name" in result.output
         assert "once': no line says whether" in result.output
         out = tmp_path / "out"
-        told = json.loads((out / "summary.json").read_text())
-        assert told["rules"] == [RETURN_BY_CALLS]
-        assert told["findings"] == [1, 2, 3, 4, 5, 6]
-        for row in told["rows"]:
+        summary = json.loads((out / "summary.json").read_text())
+        assert summary["rules"] == [RETURN_BY_CALLS]
+        assert summary["findings"] == [1, 2, 3, 4, 5, 6]
+        for row in summary["rows"]:
             file = out / f"finding-{row['number']}.toml"
             (day,) = read_days(file)
             assert day.seed == row["seed"]
@@ -223,7 +229,7 @@
                 assert row["broken"] == "ONE 1"
                 assert row["distances"][RETURN_BY_CALLS] < 0
                 assert f"{RETURN_BY_CALLS} (usage): 2." in file.read_text()
-        assert {row["seed"] % 2 for row in told["rows"]} == {0, 1}
+        assert {row["seed"] % 2 for row in summary["rows"]} == {0, 1}
 
     def test_no_known_rule_is_an_error(self, tmp_path):
         result = self.run(tmp_path, "--rule", "nonsense")
--- a/test/test_soak.py
+++ b/test/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own checks find what they are for; one seed is played."""
+"""Tests the checks and the proxy of the soak, and runs a few seeds."""
 
 import asyncio
 from pathlib import Path
@@ -34,12 +34,13 @@
 
 @pytest.fixture
 def system() -> SoakSystem:
-    """A system that was never started."""
+    """Return a system that is not started."""
     return SoakSystem(1, 1)
 
 
 def check(system: SoakSystem, attempt: Attempt) -> list[str]:
-    return [each.promise for each in check_attempts(system, [attempt])]
+    """Return the promises that an attempt breaks."""
+    return [found.promise for found in check_attempts(system, [attempt])]
 
 
 class TestPromises:
@@ -57,7 +58,7 @@
         refused = GOOD._replace(status=503)
         assert check(system, refused) == ["refused is not run"]
 
-    def test_somebody_elses_answer(self, system):
+    def test_an_answer_to_another_attempt(self, system):
         wrong = GOOD._replace(wrong="signature of another")
         assert check(system, wrong) == ["its own whole answer"]
 
@@ -75,7 +76,7 @@
         system.spans.append(Span("harm_runner", "desk-0.0", 9.0, 11.0))
         assert check(system, cut) == []
 
-    def test_work_for_a_runner_that_left(self, system):
+    def test_work_for_a_draining_runner(self, system):
         runner = system.runners[0].runner
         system.drains.append(Drain(runner.id, 100.0))
         request = Request("GET", "/check/1", "", (), b"", "here")
@@ -84,8 +85,12 @@
         runner.received.append(ReceivedRequest(request, True, 102.5))
         assert len(check_draining(system)) == 1
 
-    def test_work_for_a_runner_whose_leaving_a_drill_took_back(self, system):
-        """Guards against a copy that lets a leaving runner have new work."""
+    def test_work_for_a_draining_runner_after_a_restore(self, system):
+        """Guards against new work for a draining runner after a restore.
+
+        A store backup may be older than the drain. Gateways that knew of the
+        drain before the restore must remember it.
+        """
         runner = system.runners[0].runner
         system.drains.append(Drain(runner.id, 100.0))
         request = Request("GET", "/check/1", "", (), b"", "here")
@@ -96,7 +101,10 @@
         assert check_draining(system) == []
 
     def test_duties_of_two_holders(self, system):
-        """Guards against a lease that is given out again after a drill."""
+        """Guards against a fencing token that two holders get.
+
+        A restored store may assign the same lease version again.
+        """
         system.cloud.calls = [
             ("/usage", "gateway-1", 7, 200),
             ("/usage", "gateway-1", 7, 200),
@@ -143,8 +151,8 @@
             for one, other in zip(plans[0], plans[0][1:], strict=False)
         )
 
-    def test_duties_that_go_to_and_fro(self, system):
-        """Guards against a holder that is back at once after another one."""
+    def test_a_duty_that_returns_too_early(self, system):
+        """Guards against a duty that returns to its last holder too early."""
         usage, order = ("/usage", "", ""), ("/scale", "chat", "domain-a")
         system.cloud.accepted_calls = [
             AcceptedCall(1.0, usage, "gateway-1"),
@@ -160,10 +168,15 @@
 
 
 class TestDrill:
-    def test_what_a_copy_lost_comes_again(self, system):
-        """Guards against a drill that takes nothing back, or for good."""
+    def test_a_restore_reverts_rows_until_they_are_rewritten(self, system):
+        """Guards against a restore that has no effect or a lasting one.
+
+        The drill must revert the configuration and revive the entry of an
+        ended runner. Then the configuration is written again, the entry
+        expires, and the runners' entries are renewed.
+        """
 
-        async def story() -> None:
+        async def run_drill() -> None:
             store = system.store
             await system.configure(1)
             await store.put("servers", "ended", {})
@@ -176,21 +189,21 @@
             await wait_until(lambda: store.era == 1)
             assert store.get("op", "config")["version"] == 1
             assert store.list_keys("servers") == ["ended"]
-            beat = asyncio.create_task(system._send_heartbeats())
+            heartbeats = asyncio.create_task(system._send_heartbeats())
             await drill
             assert store.get("op", "config")["version"] == 2
             await asyncio.sleep(ENTRY_TTL_SECONDS + HEARTBEAT_SECONDS)
-            names = sorted(place.runner.id for place in system.runners)
+            names = sorted(slot.runner.id for slot in system.runners)
             assert sorted(store.list_keys("servers")) == names
-            beat.cancel()
+            heartbeats.cancel()
 
-        play_time(story())
+        play_time(run_drill())
 
 
 class TestProxy:
-    @pytest.mark.parametrize("harm", ["silent", "one_way", "forgotten"])
-    def test_what_is_held_back_does_not_come(self, harm):
-        async def story() -> None:
+    @pytest.mark.parametrize("fault", ["silent", "one_way", "forgotten"])
+    def test_blocked_bytes_do_not_arrive(self, fault):
+        async def run_proxy() -> None:
             async def echo(reader, writer):
                 writer.write(await reader.read(10))
 
@@ -202,31 +215,32 @@
                 entry.host, entry.port
             )
             await wait_until(lambda: bool(proxy._links))
-            proxy.set_fault(harm)
+            proxy.set_fault(fault)
             writer.write(b"bytes")
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await reader.read(10)
-            if harm != "forgotten":
+            if fault != "forgotten":
                 proxy.set_fault("none")
                 assert await reader.read(10) == b"bytes"
             proxy.close()
             server.close()
 
-        asyncio.run(story())
+        asyncio.run(run_proxy())
 
 
 class TestSeeds:
-    """Seeds that are played each time; those that ever failed come here."""
+    """Runs fixed seeds; seeds that revealed a fault are added here."""
 
     @pytest.mark.parametrize(
         ("seed", "options"),
         [
             (1, SMALL),
-            # A question that many ask was refused for a minute, as it was
-            # under way at a runner that crashed.
+            # Guards against requests that are refused for a minute because
+            # an identical one was in flight at a runner that crashed.
             (4, USUAL),
-            # A gateway that was told of new settings as it started ended.
+            # Guards against a gateway that ends when it receives SIGHUP for
+            # new settings during its start.
             (110, LONG),
         ],
     )
