--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -26,7 +26,7 @@
         self.own: dict[str, int] = {}
         self.turn = 0
 
-    def follow(self, event: Event) -> list[RequestRow]:
+    def apply(self, event: Event) -> list[RequestRow]:
         """Take in an event; return the requests to place."""
         match event:
             case Declared(declaration):
@@ -55,7 +55,7 @@
     """Send each request to a random runner at once."""
     return [
         tables.send(request, rng.choice(tables.runners))
-        for request in tables.follow(event)
+        for request in tables.apply(event)
     ]
 
 
@@ -64,7 +64,7 @@
 ) -> list[Action]:
     """Send requests to the runners in turn (round robin)."""
     actions: list[Action] = []
-    for request in tables.follow(event):
+    for request in tables.apply(event):
         tables.turn += 1
         runner = tables.runners[tables.turn % len(tables.runners)]
         actions.append(tables.send(request, runner))
@@ -75,7 +75,7 @@
     tables: Baseline, event: Event, now: float, rng: Random
 ) -> list[Action]:
     """Queue without limit; first come, first served on a free slot."""
-    tables.waiting += tables.follow(event)
+    tables.waiting += tables.apply(event)
     actions: list[Action] = []
     while tables.waiting:
         free = [
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -17,7 +17,7 @@
     Call,
     Outcome,
     Slowdown,
-    capacity,
+    compute_capacity,
     draw_arrivals,
     find_quantile,
     make_declaration,
@@ -29,7 +29,7 @@
 CHECK = Call(0.0, "c", prompt=200, output=50)
 SHORT_CHECK = CHECK._replace(output=25)
 DRAFT = Call(0.0, "d", "draft", prompt=1000, output=500)
-CAPACITY = capacity(RUNNERS, SLOTS, CHECK)
+CAPACITY = compute_capacity(RUNNERS, SLOTS, CHECK)
 LIGHT = {f"w{i}": 0.15 for i in range(1, 5)}
 
 # The slow or failing runner is at fault from the first to the second time.
@@ -91,20 +91,20 @@
     return outcome.refused is None or outcome.refused > outcome.arrived
 
 
-def good_part(outcomes: Iterable[Outcome]) -> float:
+def compute_good_share(outcomes: Iterable[Outcome]) -> float:
     """Return the part of the requests whose answers met the target."""
     known = list(outcomes)
     return sum(o.good for o in known) / len(known)
 
 
-def whole_p95(outcomes: Iterable[Outcome]) -> float:
+def compute_answer_p95(outcomes: Iterable[Outcome]) -> float:
     """Return the p95 of seconds until whole answers."""
     return find_quantile(
         [o.finished - o.arrived for o in outcomes if o.finished], 0.95
     )
 
 
-def first_p95(outcomes: Iterable[Outcome]) -> float:
+def compute_first_part_p95(outcomes: Iterable[Outcome]) -> float:
     """Return the p95 of seconds until answers began."""
     return find_quantile(
         [o.first - o.arrived for o in outcomes if o.first], 0.95
@@ -140,7 +140,9 @@
     return player, player.play(calls, SLOW_SECONDS + 60)
 
 
-def slow_share(outcomes: Iterable[Outcome], begin: float, end: float) -> float:
+def compute_slow_runner_share(
+    outcomes: Iterable[Outcome], begin: float, end: float
+) -> float:
     """Return the part of new work that the slow runner got."""
     sent = [
         o
@@ -163,10 +165,10 @@
     begin, end = MIXED_WINDOW
     calls = []
     if checks:
-        rate = capacity(RUNNERS, SLOTS, SHORT_CHECK) * checks
+        rate = compute_capacity(RUNNERS, SLOTS, SHORT_CHECK) * checks
         calls += draw_arrivals(Random(seed), rate, 0.0, end, SHORT_CHECK)
     if drafts:
-        rate = capacity(RUNNERS, SLOTS, DRAFT) * drafts
+        rate = compute_capacity(RUNNERS, SLOTS, DRAFT) * drafts
         calls += draw_arrivals(Random(seed + 50), rate, 0.0, end, DRAFT)
     outcomes = player.play(calls, end + 60)
     tokens = sum(
@@ -181,7 +183,7 @@
         for o in outcomes
         if o.call.workspace == CHECK.workspace and o.arrived >= begin
     ]
-    return first_p95(shorts) if checks else 0.0, tokens
+    return compute_first_part_p95(shorts) if checks else 0.0, tokens
 
 
 SHARED_BLOCKS = 16
@@ -227,7 +229,7 @@
     player = Player(make_declaration(RUNNERS, SLOTS), seed, **options)
     fakes = player.runners.values()
     work: dict[str, float] = {}
-    player.at(
+    player.schedule(
         PREFIX_WINDOW.begin,
         lambda: work.update({f.runner.name: f.work for f in fakes}),
     )
@@ -258,8 +260,8 @@
 ) -> list[Outcome]:
     """Play the loss of one of three failure domains."""
     player = Player(make_declaration(9, SLOTS), seed, gateways=gateways)
-    checks = capacity(9, SLOTS, CHECK) * load * 0.7
-    drafts = capacity(9, SLOTS, DRAFT) * load * 0.3
+    checks = compute_capacity(9, SLOTS, CHECK) * load * 0.7
+    drafts = compute_capacity(9, SLOTS, DRAFT) * load * 0.3
     end = LOST_SECONDS
     calls = draw_arrivals(Random(seed), checks, 0.0, end, CHECK)
     calls += draw_arrivals(Random(seed + 1), drafts, 0.0, end, DRAFT)
@@ -268,11 +270,11 @@
         for name, fake in player.runners.items()
         if fake.runner.failure_domain == "d0"
     ]
-    player.at(LOST_AT, lambda: player.lose(names, notice))
+    player.schedule(LOST_AT, lambda: player.lose_runners(names, notice))
     return player.play(calls, 200.0)
 
 
-def lost_waits(outcomes: Iterable[Outcome]) -> list[float]:
+def list_recovery_seconds(outcomes: Iterable[Outcome]) -> list[float]:
     """Return the seconds until requests of the lost domain ran again."""
     return [
         o.dispatched - LOST_AT
@@ -300,7 +302,9 @@
         _print_prefixes(name, options)
     for gateways in (1, 5):
         for notice in (True, False):
-            waits = lost_waits(play_lost_domain(0.95, notice, gateways))
+            waits = list_recovery_seconds(
+                play_lost_domain(0.95, notice, gateways)
+            )
             print(
                 f"lost domain, {gateways} gateways, notice {notice}:"
                 f" {len(waits)} moved, longest wait {max(waits):.2f} s"
@@ -315,7 +319,7 @@
         print(
             f"saturation {overload}, {name}: goodput"
             f" {sum(parts) / len(parts):.3f} (worst {min(parts):.3f}),"
-            f" admitted in time {good_part(admitted):.3f}"
+            f" admitted in time {compute_good_share(admitted):.3f}"
         )
 
 
@@ -325,9 +329,9 @@
         after = play_heavy(seed, **options)
         print(
             f"heavy workspace, {name}, seed {seed}: others' p95 whole x"
-            f"{whole_p95(after) / whole_p95(before):.2f}, first"
-            f" {first_p95(before):.2f} -> {first_p95(after):.2f} s,"
-            f" in time {good_part(after):.3f}"
+            f"{compute_answer_p95(after) / compute_answer_p95(before):.2f}, first"
+            f" {compute_first_part_p95(before):.2f} -> {compute_first_part_p95(after):.2f} s,"
+            f" in time {compute_good_share(after):.3f}"
         )
 
 
@@ -342,9 +346,13 @@
         back = []
         for seed in SEEDS:
             _, outcomes = play_slow(slowdown, seed, **options)
-            shares.append(slow_share(outcomes, SLOW_BEGIN + 2, SLOW_END))
-            before = slow_share(outcomes, 3.0, SLOW_BEGIN)
-            after = slow_share(outcomes, SLOW_END + 10, SLOW_SECONDS)
+            shares.append(
+                compute_slow_runner_share(outcomes, SLOW_BEGIN + 2, SLOW_END)
+            )
+            before = compute_slow_runner_share(outcomes, 3.0, SLOW_BEGIN)
+            after = compute_slow_runner_share(
+                outcomes, SLOW_END + 10, SLOW_SECONDS
+            )
             back.append(after / before)
         print(
             f"slow runner {kind}, {name}: share from 2 s on"
--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -50,14 +50,14 @@
         line = await self._process.stdout.readline()
         return line.decode().strip()
 
-    def tell(self, command: str) -> None:
+    def send_command(self, command: str) -> None:
         """Send a command."""
         assert self._process.stdin
         self._process.stdin.write(f"{command}\n".encode())
 
     async def report(self) -> dict[str, Any]:
         """Return what the member has counted, with its usage."""
-        self.tell("report")
+        self.send_command("report")
         report: dict[str, Any] = json.loads(await self.read())
         times = self.usage.cpu_times()
         report["cpu"] = times.user + times.system
@@ -131,7 +131,7 @@
     rng = random.Random(prefix)
     count = max(1, round(rate * seconds))
     for number in range(count):
-        rng.choice(members).tell(f"publish {prefix}-{number}")
+        rng.choice(members).send_command(f"publish {prefix}-{number}")
         await asyncio.sleep(seconds / count)
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -13,7 +13,7 @@
 MAX_MICROSECONDS = 60_000_000
 DIGITS = 3
 # A run that is stuck ends by itself.
-LONGEST_SECONDS = 60.0
+DRAIN_TIMEOUT_SECONDS = 60.0
 _FIELD = b"id: "
 _REFUSED = (b"HTTP/1.1 503", b"HTTP/1.1 429")
 
@@ -88,7 +88,7 @@
         tasks.append(asyncio.create_task(sending))
         due += rng.expovariate(plan.rate)
         number += 1
-    await asyncio.wait(tasks, timeout=LONGEST_SECONDS)
+    await asyncio.wait(tasks, timeout=DRAIN_TIMEOUT_SECONDS)
     for task in tasks:
         if not task.done():
             task.cancel()
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -36,7 +36,7 @@
 
 GATEWAYS = tuple(f"gateway-{index}" for index in range(9))
 ROUTES = ("bookings", "checks/*")
-PARTS = (0.3, 0.7)
+ROUTE_SHARES = (0.3, 0.7)
 QUESTIONS = ("failed", "slow")
 PROCESSES = 3
 
@@ -166,7 +166,9 @@
         begun = now - INTERVAL_SECONDS
         shares = _list_shares(row, begun)[None, :, :]
         mean = self.case.rate * INTERVAL_SECONDS / len(GATEWAYS)
-        runs = rng.poisson(mean * np.array(PARTS)[:, None, None] * shares)
+        runs = rng.poisson(
+            mean * np.array(ROUTE_SHARES)[:, None, None] * shares
+        )
         chances = self._list_chances(now, shares)
         bad = rng.binomial(runs, chances)
         worse = chances[:, :, 0] != chances[:, :, 1]
--- a/bench/player.py
+++ b/bench/player.py
@@ -95,7 +95,7 @@
         self._report()
         self._show_progress()
 
-    def at(self, time: float, action: Callable[[], None]) -> None:
+    def schedule(self, time: float, action: Callable[[], None]) -> None:
         """Do something at a time."""
         heappush(self._heap, (time, next(self._order), action))
 
@@ -113,7 +113,7 @@
 
     def _plan_call(self, call: Call) -> None:
         self._open += 1
-        self.at(call.time, lambda: self.call(call))
+        self.schedule(call.time, lambda: self.call(call))
 
     def call(self, call: Call) -> None:
         """Let a caller send its request to one gateway."""
@@ -160,7 +160,7 @@
         self._open -= 1
         self._return(outcome.call, retry_after)
 
-    def lose(self, names: Iterable[str], notice: bool = True) -> None:
+    def lose_runners(self, names: Iterable[str], notice: bool = True) -> None:
         """Lose runners; their requests ask for others."""
         gone = frozenset(names)
         if notice:
@@ -169,7 +169,7 @@
         for name in gone:
             fake = self.runners[name]
             fake.alive = False
-            fake.stamp += 1
+            fake.schedule_version += 1
             jobs = [*fake.running.values(), *fake.waiting]
             fake.running.clear()
             fake.waiting.clear()
@@ -177,14 +177,14 @@
                 failed = AttemptFailed(job.id, name, "lost", True)
                 self.send(job.gateway, failed)
 
-    def stop_returning(self) -> None:
+    def stop_retries(self) -> None:
         """Let refused callers give up from now on."""
         self._returning = False
 
     def _return(self, call: Call, retry_after: float | None) -> None:
-        if call.again and self._returning:
+        if call.retries_at_once and self._returning:
             self._plan_call(call._replace(time=self.now + RETURN_SECONDS))
-        elif call.heeds and retry_after is not None:
+        elif call.honors_retry_after and retry_after is not None:
             self._plan_call(call._replace(time=self.now + retry_after))
 
     def _dispatch(self, index: int, action: Dispatch) -> None:
@@ -199,7 +199,7 @@
             failed = AttemptFailed(
                 action.request_id, action.runner, kind, True
             )
-            self.at(self.now + 0.01, lambda: self.send(index, failed))
+            self.schedule(self.now + 0.01, lambda: self.send(index, failed))
             return
         held = fake.reuse(call.prefix)
         outcome.reused = held * BLOCK
@@ -213,19 +213,19 @@
         self._plan(fake)
 
     def _plan(self, fake: FakeRunner) -> None:
-        fake.stamp += 1
+        fake.schedule_version += 1
         while fake.steps and fake.steps[0][2] not in fake.running:
             heappop(fake.steps)
         if not fake.steps:
             return
         wait = (fake.steps[0][0] - fake.virtual) / fake.rate(self.now)
-        stamp = fake.stamp
+        stamp = fake.schedule_version
         # A slowdown that sets in meanwhile is met by planning again.
         soon = min(max(wait, 0.0), 0.25)
-        self.at(self.now + soon, lambda: self._step(fake, stamp))
+        self.schedule(self.now + soon, lambda: self._step(fake, stamp))
 
     def _step(self, fake: FakeRunner, stamp: int) -> None:
-        if stamp != fake.stamp:
+        if stamp != fake.schedule_version:
             return
         fake.advance(self.now)
         done: list[tuple[int, Event]] = []
@@ -256,18 +256,18 @@
         for fake in self.runners.values():
             fake.advance(self.now)
             for job in list(fake.running.values()):
-                span = max(0.0, fake.virtual - job.begun)
+                span = max(0.0, fake.virtual - job.decode_start)
                 done = int(span / TOKEN_SECONDS)
-                tokens = min(done, job.output) - job.told
+                tokens = min(done, job.output) - job.reported_tokens
                 if tokens > 0:
-                    job.told += tokens
+                    job.reported_tokens += tokens
                     name = fake.runner.name
                     self.send(job.gateway, Progress(job.id, name, tokens))
-        self.at(self.now + PROGRESS_SECONDS, self._show_progress)
+        self.schedule(self.now + PROGRESS_SECONDS, self._show_progress)
 
     def _tick(self, index: int) -> None:
         self.send(index, Tick())
-        self.at(self.now + TICK_SECONDS, lambda: self._tick(index))
+        self.schedule(self.now + TICK_SECONDS, lambda: self._tick(index))
 
     def _report(self) -> None:
         for fake in self.runners.values():
@@ -279,11 +279,11 @@
                     len(fake.waiting),
                     0,
                 )
-                self.at(
+                self.schedule(
                     self.now + REPORT_LAG_SECONDS,
                     lambda report=report: self._deliver(report),  # type: ignore[misc]
                 )
-        self.at(self.now + REPORT_SECONDS, self._report)
+        self.schedule(self.now + REPORT_SECONDS, self._report)
 
     def _deliver(self, report: LoadReport) -> None:
         for index in range(len(self.tables)):
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -48,7 +48,7 @@
     )
 
 
-async def order_faults(address: Address, faults: dict[str, Any]) -> None:
+async def set_faults(address: Address, faults: dict[str, Any]) -> None:
     """Give a stand-in its faults, in place of the ones before."""
     body = msgspec.json.encode(faults)
     answer = await send(address, "POST", "/standin/faults", body)
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -21,7 +21,7 @@
 TOKEN_SECONDS = 0.02
 PREFILL_SECONDS = 0.0005
 # A batch may be this many times the slots, at more time per token.
-BATCH_MOST = 2
+MAX_BATCH_RATIO = 2
 
 ROUTES = (
     Route("check", "check", True, 1.0, 0.038, 10.0),
@@ -55,8 +55,8 @@
     output: int = 50
     prefix: tuple[int, ...] = ()
     expected: int | None = None
-    again: bool = False
-    heeds: bool = False
+    retries_at_once: bool = False
+    honors_retry_after: bool = False
 
 
 @dataclass(slots=True)
@@ -94,8 +94,8 @@
     prefill: float
     decode: float
     output: int
-    begun: float = math.inf
-    told: int = 0
+    decode_start: float = math.inf
+    reported_tokens: int = 0
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
     waiting: list[Job] = field(default_factory=list)
     steps: list[tuple[float, str, str]] = field(default_factory=list)
     cache: OrderedDict[int, None] = field(default_factory=OrderedDict)
-    stamp: int = 0
+    schedule_version: int = 0
     work: float = 0.0
 
     def rate(self, now: float) -> float:
@@ -129,11 +129,11 @@
 
     def start(self) -> None:
         """Move waiting jobs into the batch."""
-        most = self.runner.slots * BATCH_MOST
+        most = self.runner.slots * MAX_BATCH_RATIO
         while self.waiting and len(self.running) < most:
             job = self.waiting.pop(0)
             self.running[job.id] = job
-            job.begun = self.virtual + job.prefill
+            job.decode_start = self.virtual + job.prefill
             heappush(self.steps, (self.virtual + job.prefill, "first", job.id))
             end = self.virtual + job.prefill + job.decode
             heappush(self.steps, (end, "finished", job.id))
@@ -216,7 +216,7 @@
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
-def capacity(runners: int, slots: int, call: Call) -> float:
+def compute_capacity(runners: int, slots: int, call: Call) -> float:
     """Return the calls a second that healthy runners can finish."""
     seconds = call.prompt * PREFILL_SECONDS + call.output * TOKEN_SECONDS
     return runners * slots / seconds
--- a/features/steps/booking.py
+++ b/features/steps/booking.py
@@ -8,7 +8,7 @@
 import msgspec
 from behave import given, then, when
 
-from bench.probe import book, count_runs, fetch_counts, order_faults
+from bench.probe import book, count_runs, fetch_counts, set_faults
 from lagoonpost.http.message import Response
 
 KEY = "pitch-9"
@@ -19,12 +19,12 @@
 def order_services(context: Any, faults: dict[str, Any]) -> None:
     system = context.system
     for name in system.services:
-        asyncio.run(order_faults(system.addresses[name], faults))
+        asyncio.run(set_faults(system.addresses[name], faults))
 
 
 def order_platform(context: Any, faults: dict[str, Any]) -> None:
     address = context.system.addresses["platform"]
-    asyncio.run(order_faults(address, faults))
+    asyncio.run(set_faults(address, faults))
 
 
 def read_execution(answer: Response) -> str:
@@ -80,7 +80,7 @@
         process.send(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         assert await count_runs(context.system, KEY) == 0
-        await order_faults(context.system.addresses["platform"], {})
+        await set_faults(context.system.addresses["platform"], {})
         process.send(signal.SIGCONT)
         return await call
 
@@ -155,9 +155,9 @@
     async def run() -> Response:
         call = asyncio.create_task(book(context.system, "gateway-1", KEY))
         await wait_for_run(context)
-        await order_faults(platform, {"down": True})
+        await set_faults(platform, {"down": True})
         answer = await call
-        await order_faults(platform, {})
+        await set_faults(platform, {})
         return answer
 
     context.answers = [asyncio.run(run())]
--- a/features/steps/peers.py
+++ b/features/steps/peers.py
@@ -110,7 +110,7 @@
     # A story goes on once its step has happened: a busy member may take the
     # line only after the next step, and what nobody knows yet can't be
     # missed by one that thaws.
-    context.cluster.members[number].tell(f"publish {key}")
+    context.cluster.members[number].send_command(f"publish {key}")
     context.cluster.run(context.cluster.wait_until_running_know(key))
 
 
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -11,12 +11,12 @@
     LIGHT,
     RUNNERS,
     SLOTS,
-    good_part,
+    compute_answer_p95,
+    compute_good_share,
     goodput,
     is_admitted,
     play_checks,
     play_heavy,
-    whole_p95,
 )
 from bench.player import Player
 from bench.workload import draw_arrivals, make_declaration
@@ -37,7 +37,7 @@
         played = [play_checks({"w": overload}, seed) for seed in SEEDS]
         assert sum(map(goodput, played)) / 3 >= 0.95
         admitted = [o for out in played for o in out if is_admitted(o)]
-        assert good_part(admitted) >= 0.95
+        assert compute_good_share(admitted) >= 0.95
 
     @pytest.mark.parametrize("name", BASELINES)
     def test_baselines_collapse(self, name):
@@ -63,12 +63,15 @@
         after they have stopped.
         """
         player = Player(make_declaration(RUNNERS, SLOTS))
-        rush = CHECK._replace(again=True)
+        rush = CHECK._replace(retries_at_once=True)
         calls = draw_arrivals(Random(1), CAPACITY * 3, 0.0, 5.0, rush)
         calls += draw_arrivals(Random(2), CAPACITY * 0.5, 0.0, 25.0, CHECK)
-        player.at(8.0, player.stop_returning)
+        player.schedule(8.0, player.stop_retries)
         outcomes = player.play(calls, 80.0)
-        assert good_part(o for o in outcomes if o.arrived >= 10.0) >= 0.99
+        assert (
+            compute_good_share(o for o in outcomes if o.arrived >= 10.0)
+            >= 0.99
+        )
 
 
 class TestSlowSpell:
@@ -85,7 +88,10 @@
             fake.slowdown = lambda now, _: 30.0 if 3.0 <= now < 8.0 else 1.0
         calls = draw_arrivals(Random(1), CAPACITY * 0.5, 0.0, 30.0, CHECK)
         outcomes = player.play(calls, 120.0)
-        assert good_part(o for o in outcomes if o.arrived >= 13.0) >= 0.99
+        assert (
+            compute_good_share(o for o in outcomes if o.arrived >= 13.0)
+            >= 0.99
+        )
 
 
 class TestHeavyWorkspace:
@@ -95,11 +101,13 @@
         for seed in (1, 2, 3):
             without = play_checks(LIGHT, seed)
             beside = play_heavy(seed)
-            assert whole_p95(beside) <= 1.2 * whole_p95(without)
-            assert good_part(beside) >= 0.99
+            assert compute_answer_p95(beside) <= 1.2 * compute_answer_p95(
+                without
+            )
+            assert compute_good_share(beside) >= 0.99
 
     def test_first_come_sets_everyone_back(self):
-        assert good_part(play_heavy(1, **FIRST_COME)) < 0.5
+        assert compute_good_share(play_heavy(1, **FIRST_COME)) < 0.5
 
     def test_idle_share_is_lent_out(self):
         assert goodput(play_checks({"heavy": 2.0, "w1": 0.1}, 1)) >= 0.95
--- a/test/test_backoff.py
+++ b/test/test_backoff.py
@@ -6,7 +6,12 @@
 from hypothesis import strategies as st
 
 from bench.player import Player
-from bench.workload import Call, capacity, draw_arrivals, make_declaration
+from bench.workload import (
+    Call,
+    compute_capacity,
+    draw_arrivals,
+    make_declaration,
+)
 from lagoonpost.systems.backoff import (
     JITTER_SHARE,
     MAX_RETRY_SECONDS,
@@ -88,7 +93,7 @@
         player = Player(make_declaration(6, 8))
         for fake in player.runners.values():
             fake.fails = lambda now: 5.0 <= now < 10.0
-        rate = capacity(6, 8, CHECK) * 0.5
+        rate = compute_capacity(6, 8, CHECK) * 0.5
         calls = draw_arrivals(Random(1), rate, 0.0, 25.0, CHECK)
         outcomes = player.play(calls, 60.0)
         sent = [
@@ -115,9 +120,9 @@
         player.store_down = lambda now: 8.0 <= now < 18.0
         player.store_down_since = 8.0
         booking = CHECK._replace(
-            workspace="b", request_class="booking", heeds=True
+            workspace="b", request_class="booking", honors_retry_after=True
         )
-        rate = capacity(6, 8, CHECK)
+        rate = compute_capacity(6, 8, CHECK)
         calls = draw_arrivals(Random(1), rate * 0.35, 0.0, 45.0, booking)
         calls += draw_arrivals(Random(2), rate * 0.35, 0.0, 45.0, CHECK)
         outcomes = player.play(calls, 120.0)
--- a/test/test_dispatch.py
+++ b/test/test_dispatch.py
@@ -5,9 +5,9 @@
 import pytest
 
 from bench.baseline import BASELINES, Baseline
-from bench.cases import SHORT_CHECK, good_part, play_mixed
+from bench.cases import SHORT_CHECK, compute_good_share, play_mixed
 from bench.player import Player
-from bench.workload import capacity, draw_arrivals, make_declaration
+from bench.workload import compute_capacity, draw_arrivals, make_declaration
 
 
 class TestLongAmongShort:
@@ -45,16 +45,19 @@
 
     def test_part_is_answered_and_the_rest_spread(self):
         player = Player(make_declaration(6, 8))
-        rate = capacity(6, 8, SHORT_CHECK)
+        rate = compute_capacity(6, 8, SHORT_CHECK)
         calls = draw_arrivals(Random(1), rate * 0.5, 0.0, 20.0, SHORT_CHECK)
         burst = draw_arrivals(Random(2), rate * 30, 8.0, 8.1, SHORT_CHECK)
         outcomes = player.play(calls + burst, 60.0)
         hit = [o for o in outcomes if 8.0 <= o.arrived < 8.1]
         refused = [o for o in hit if o.refused is not None]
         answered = [o for o in hit if o.finished is not None]
-        assert good_part(answered) >= 0.95
+        assert compute_good_share(answered) >= 0.95
         assert all(o.refused == o.arrived for o in refused)
         delays = sorted(o.retry_after for o in refused)
         assert delays[0] >= 0.5
         assert delays[-1] >= 1.5 * delays[0]
-        assert good_part(o for o in outcomes if o.arrived >= 11.0) >= 0.99
+        assert (
+            compute_good_share(o for o in outcomes if o.arrived >= 11.0)
+            >= 0.99
+        )
--- a/test/test_ejection.py
+++ b/test/test_ejection.py
@@ -12,10 +12,10 @@
     SLOW_BEGIN,
     SLOW_END,
     SLOW_SECONDS,
-    good_part,
+    compute_good_share,
+    compute_slow_runner_share,
     play_slow,
     slow_always,
-    slow_share,
     slow_when_busy,
 )
 from bench.player import Player
@@ -51,8 +51,11 @@
             and SLOW_BEGIN + 2 <= time < SLOW_END
         ]
         assert sum(sent) < 0.05 * len(sent)
-        assert good_part(outcomes) >= 0.99
-        assert slow_share(outcomes, SLOW_END + 10, SLOW_SECONDS) > 0.08
+        assert compute_good_share(outcomes) >= 0.99
+        assert (
+            compute_slow_runner_share(outcomes, SLOW_END + 10, SLOW_SECONDS)
+            > 0.08
+        )
 
 
 class TestSlowRunner:
@@ -73,15 +76,22 @@
         self, slowdown, seed, gateways
     ):
         _, outcomes = play_slow(slowdown, seed, gateways=gateways)
-        assert slow_share(outcomes, SLOW_BEGIN + 2, SLOW_END) < 0.05
-        before = slow_share(outcomes, 3, SLOW_BEGIN)
-        after = slow_share(outcomes, SLOW_END + 10, SLOW_SECONDS)
+        assert (
+            compute_slow_runner_share(outcomes, SLOW_BEGIN + 2, SLOW_END)
+            < 0.05
+        )
+        before = compute_slow_runner_share(outcomes, 3, SLOW_BEGIN)
+        after = compute_slow_runner_share(
+            outcomes, SLOW_END + 10, SLOW_SECONDS
+        )
         assert after > 0.5 * before
 
     def test_random_routing_keeps_sending(self):
         options = {"decider": BASELINES["random"], "tables": Baseline}
         _, outcomes = play_slow(slow_always(10.0), 1, **options)
-        assert slow_share(outcomes, SLOW_BEGIN + 2, SLOW_END) > 0.1
+        assert (
+            compute_slow_runner_share(outcomes, SLOW_BEGIN + 2, SLOW_END) > 0.1
+        )
 
     @pytest.mark.parametrize("load", [0.7, 1.2, 3.0])
     def test_no_healthy_runner_is_ejected(self, load):
--- a/test/test_headroom.py
+++ b/test/test_headroom.py
@@ -4,7 +4,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bench.cases import LOST_AT, good_part, lost_waits, play_lost_domain
+from bench.cases import (
+    LOST_AT,
+    compute_good_share,
+    list_recovery_seconds,
+    play_lost_domain,
+)
 from lagoonpost.systems.headroom import moved_limit, protected_limit
 
 
@@ -32,7 +37,7 @@
         outcomes = play_lost_domain(0.95, notice, gateways)
         moved = [o for o in outcomes if o.attempts > 1]
         assert all(o.finished is not None for o in moved)
-        waits = lost_waits(outcomes)
+        waits = list_recovery_seconds(outcomes)
         assert len(waits) > 10
         assert max(waits) < 0.2
 
@@ -40,7 +45,7 @@
         """Checks are answered on time again some seconds after the loss."""
         outcomes = play_lost_domain(0.6, True, 1)
         assert (
-            good_part(
+            compute_good_share(
                 o
                 for o in outcomes
                 if o.arrived >= LOST_AT + 3 and o.call.request_class == "check"
--- a/test/test_routing.py
+++ b/test/test_routing.py
@@ -57,7 +57,7 @@
         player = Player(make_declaration(4, versions={"a": 1, "b": 0}))
         moved = make_declaration(4, versions={"a": 0, "b": 1})
         moved = moved._replace(revision=2)
-        player.at(5.0, lambda: player.send(0, Declared(moved)))
+        player.schedule(5.0, lambda: player.send(0, Declared(moved)))
         calls = draw_arrivals(Random(1), 10.0, 0.0, 10.0, CHECK)
         player.play(calls, 60.0)
         late = [
@@ -100,7 +100,7 @@
                 beside.append(len(fake.running))
 
         for step in range(200):
-            player.at(1.51 + step * 0.05, look)
+            player.schedule(1.51 + step * 0.05, look)
         calls = [CHECK._replace(time=0.3 * i) for i in range(40)]
         outcomes = player.play(calls, 60.0)
         assert outcomes[5].finished or outcomes[5].refused
--- a/test/test_systems_gateway.py
+++ b/test/test_systems_gateway.py
@@ -28,7 +28,7 @@
         make_declaration(runners=3, slots=2), seed, gateways=gateways
     )
     if lost:
-        player.at(2.0, lambda: player.lose(lost, notice))
+        player.schedule(2.0, lambda: player.lose_runners(lost, notice))
     outcomes = player.play(wanted, 150.0)
     return player, outcomes
 
