--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements over the project's own stand-ins."""
+"""Benchmarks and simulations that run against the project's stand-ins."""
--- a/bench/account.py
+++ b/bench/account.py
@@ -1,9 +1,9 @@
-"""Measures what one gateway costs beside others, by their number.
+"""Measures the resource use of one gateway by the number of gateways.
 
-Real gateways as processes on the loopback interface, the store, the cloud and
-the runners as stand-ins in this process. First nothing is asked, then a fixed
-number of requests a second of each gateway. Bytes are those of the messages'
-contents, without heads. Beside other load read the ratios only.
+Gateways are processes on the loopback interface; the store, the cloud and the
+runners are stand-ins in this process. The gateways are first idle, then each
+serves a fixed request rate. Bytes count message bodies without headers. While
+other work shares the machine, only ratios are meaningful.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 from soak.system import STREAM_EVENTS, SoakSystem
 
 SETTLE_SECONDS = 8.0
-"""Time after the start in which gateways look for each other often."""
+"""Time after the start in which gateways poll often for peers."""
 DEADLINE_SECONDS = 4.0
 RUNNERS = 6
 PROMPT_TOKENS = 400
@@ -36,13 +36,13 @@
 
 
 class Reading(NamedTuple):
-    """What all gateways have used since their start.
+    """Cumulative resource use of all gateways since their start.
 
     Attributes:
-        at: Time of the steady clock.
-        seconds: Processor time of all gateways.
-        messages: Control messages by kind and direction.
-        sizes: Their bytes.
+        at: Time of the monotonic clock in seconds.
+        seconds: CPU time of all gateways.
+        messages: Number of control messages by kind and direction.
+        sizes: Bytes of control messages by kind and direction.
     """
 
     at: float
@@ -52,7 +52,7 @@
 
 
 async def read_all(system: SoakSystem, client: Client) -> Reading:
-    """Read the processor time and the counters of all gateways."""
+    """Read the CPU time and the counters of all gateways."""
     seconds = 0.0
     for process in system.gateways:
         times = psutil.Process(process.pid).cpu_times()
@@ -64,22 +64,25 @@
     }
     for address in system.metrics_addresses:
         answer = await client.call(address, "GET", "/metrics", timeout=10.0)
-        for what, direction, kind, value in _METRIC.findall(
+        for unit, direction, kind, value in _METRIC.findall(
             answer.body.decode()
         ):
-            counted[what][f"{kind} {direction}"] += round(float(value))
+            counted[unit][f"{kind} {direction}"] += round(float(value))
     return Reading(at, seconds, counted["messages"], counted["bytes"])
 
 
 async def call_steadily(
     system: SoakSystem, rate: float, seconds: float
 ) -> int:
-    """Send requests to all gateways in turn; return how many were answered.
+    """Send requests to all gateways in turn at a constant rate.
 
     Args:
-        system: Whom to call.
-        rate: Requests a second in all.
-        seconds: For how long.
+        system: System whose gateways are called.
+        rate: Requests per second over all gateways.
+        seconds: Duration of the load.
+
+    Returns:
+        The number of requests answered with status 200.
     """
     client = Client()
     begin = time.monotonic()
@@ -114,20 +117,24 @@
 
 
 def compare(before: Reading, after: Reading, gateways: int) -> dict[str, Any]:
-    """Return what one gateway used a second between two readings."""
-    whole = (after.at - before.at) * gateways
+    """Return the resource use per gateway and second between readings."""
+    gateway_seconds = (after.at - before.at) * gateways
     messages = after.messages - before.messages
     sizes = after.sizes - before.sizes
     return {
-        "core": round((after.seconds - before.seconds) / whole, 5),
-        "bytes": round(sizes.total() / whole),
-        "messages": {k: round(v / whole, 3) for k, v in messages.items()},
-        "bytes_by_kind": {k: round(v / whole) for k, v in sizes.items()},
+        "core": round((after.seconds - before.seconds) / gateway_seconds, 5),
+        "bytes": round(sizes.total() / gateway_seconds),
+        "messages": {
+            k: round(v / gateway_seconds, 3) for k, v in messages.items()
+        },
+        "bytes_by_kind": {
+            k: round(v / gateway_seconds) for k, v in sizes.items()
+        },
     }
 
 
 async def measure(gateways: int, rate: float, seconds: float) -> Any:
-    """Measure some gateways, idle and at a rate for each of them."""
+    """Measure a number of gateways, idle and at a rate per gateway."""
     client = Client()
     async with SoakSystem(gateways, RUNNERS, metrics=True) as system:
         await asyncio.sleep(SETTLE_SECONDS)
@@ -141,15 +148,15 @@
             for process in system.gateways
         ]
     client.close()
-    at_rest = compare(started, idle, gateways)
-    at_work = compare(idle, busy, gateways)
-    spent = at_work["core"] - at_rest["core"]
+    idle_use = compare(started, idle, gateways)
+    busy_use = compare(idle, busy, gateways)
+    spent = busy_use["core"] - idle_use["core"]
     return {
         "gateways": gateways,
         "start_seconds": round(started.seconds / gateways, 3),
         "start_messages": dict((started.messages).most_common()),
-        "idle": at_rest,
-        "busy": at_work,
+        "idle": idle_use,
+        "busy": busy_use,
         "answered": answered,
         "request_ms": round(1000 * spent / rate, 3),
         "events_a_request": STREAM_EVENTS / 2,
@@ -158,7 +165,7 @@
 
 
 def fit(rows: Sequence[dict[str, Any]], figure: str) -> float:
-    """Return the slope of an idle gateway's figure over their number."""
+    """Return the slope of an idle gateway's figure by gateway count."""
     counts = [row["gateways"] for row in rows]
     values = [row["idle"][figure] for row in rows]
     return float(numpy.polyfit(counts, values, 1)[0])
@@ -169,11 +176,11 @@
 @click.option("--rate", default=2.0, help="Requests a second of a gateway.")
 @click.option("--seconds", default=15.0, help="Length of each measurement.")
 def main(gateways: tuple[int, ...], rate: float, seconds: float) -> None:
-    """Measure systems of some sizes and print the account as JSON.
+    """Measure systems of the given sizes and print a report as JSON.
 
     Example: python -m bench.account 9 25 67
     """
-    rows = [asyncio.run(measure(each, rate, seconds)) for each in gateways]
+    rows = [asyncio.run(measure(count, rate, seconds)) for count in gateways]
     report: dict[str, Any] = {"rows": rows}
     if len(rows) > 1:
         report["slopes_a_gateway"] = {
--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -1,4 +1,4 @@
-"""Simple ways to decide, with which the decisions are compared."""
+"""Simple dispatch policies as baselines for the gateway's decisions."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 class Baseline:
-    """State of one gateway that knows its own work only."""
+    """State of a gateway that tracks only its own dispatches."""
 
     def __init__(self, index: int = 0, gateways: int = 1) -> None:
         self.runners: list[Runner] = []
@@ -27,7 +27,7 @@
         self.turn = 0
 
     def apply(self, event: Event) -> list[RequestRow]:
-        """Take in an event; return the requests to place."""
+        """Apply an event and return the requests to dispatch."""
         match event:
             case Declared(declaration):
                 self.runners = list(declaration.runners)
@@ -44,7 +44,7 @@
         return []
 
     def send(self, request: RequestRow, runner: Runner) -> Dispatch:
-        """Count and dispatch a request."""
+        """Record the dispatch of a request and return the action."""
         self.own[runner.name] = self.own.get(runner.name, 0) + 1
         return Dispatch(request.id, runner.name, runner.version, "baseline")
 
@@ -52,7 +52,7 @@
 def decide_at_random(
     tables: Baseline, event: Event, now: float, rng: Random
 ) -> list[Action]:
-    """Send each request to a random runner at once."""
+    """Dispatch each request to a random runner immediately."""
     return [
         tables.send(request, rng.choice(tables.runners))
         for request in tables.apply(event)
@@ -62,7 +62,7 @@
 def decide_in_turn(
     tables: Baseline, event: Event, now: float, rng: Random
 ) -> list[Action]:
-    """Send requests to the runners in turn (round robin)."""
+    """Dispatch requests to the runners in round-robin order."""
     actions: list[Action] = []
     for request in tables.apply(event):
         tables.turn += 1
@@ -74,7 +74,7 @@
 def decide_first_come(
     tables: Baseline, event: Event, now: float, rng: Random
 ) -> list[Action]:
-    """Queue without limit; first come, first served on a free slot."""
+    """Dispatch from an unbounded FIFO queue whenever a slot is free."""
     tables.waiting += tables.apply(event)
     actions: list[Action] = []
     while tables.waiting:
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -1,8 +1,7 @@
-"""The played cases of load and their figures.
+"""Simulated load patterns and the metrics computed from them.
 
-Run ``python -m bench.cases`` to print them. Tests hold the same cases to
-what is wanted of them. Time is played: the figures don't depend on the
-machine.
+Run ``python -m bench.cases`` to print the metrics. Tests assert bounds on the
+same patterns. Time is simulated, so the results do not depend on the machine.
 """
 
 from collections.abc import Iterable, Mapping
@@ -32,7 +31,7 @@
 CAPACITY = compute_capacity(RUNNERS, SLOTS, CHECK)
 LIGHT = {f"w{i}": 0.15 for i in range(1, 5)}
 
-# The slow or failing runner is at fault from the first to the second time.
+# Runner that is slow or failing from SLOW_BEGIN to SLOW_END (seconds).
 SLOW = "r2"
 SLOW_BEGIN = 8.0
 SLOW_END = 18.0
@@ -40,7 +39,7 @@
 
 
 class Window(NamedTuple):
-    """What part of a play is looked at, in seconds."""
+    """Part of a simulation that is evaluated, in simulated seconds."""
 
     begin: float
     end: float
@@ -54,12 +53,15 @@
 def play_checks(
     rates: Mapping[str, float], seed: int, **options: Any
 ) -> list[Outcome]:
-    """Play checks of workspaces; return those of the window.
+    """Simulate checks of several workspaces.
 
     Args:
-        rates: Rate of each workspace as a part of the capacity.
-        seed: Seed of arrivals and decisions.
-        options: Options of the player.
+        rates: Arrival rate of each workspace as a fraction of the capacity.
+        seed: Seed of the arrivals and the decisions.
+        options: Keyword arguments of the player.
+
+    Returns:
+        The outcomes of the checks that arrived in ``CHECKS_WINDOW`` or later.
     """
     declaration = make_declaration(
         RUNNERS, SLOTS, weights=dict.fromkeys(rates, 1.0)
@@ -76,7 +78,7 @@
 
 
 def goodput(outcomes: Iterable[Outcome]) -> float:
-    """Return the part of the capacity that went into good answers."""
+    """Return the fraction of capacity spent on answers within target."""
     seconds = sum(
         o.call.prompt * PREFILL_SECONDS + o.call.output * TOKEN_SECONDS
         for o in outcomes
@@ -92,45 +94,49 @@
 
 
 def compute_good_share(outcomes: Iterable[Outcome]) -> float:
-    """Return the part of the requests whose answers met the target."""
+    """Return the fraction of requests whose answer met its target."""
     known = list(outcomes)
     return sum(o.good for o in known) / len(known)
 
 
 def compute_answer_p95(outcomes: Iterable[Outcome]) -> float:
-    """Return the p95 of seconds until whole answers."""
+    """Return the 95th percentile of seconds to complete answers."""
     return find_quantile(
         [o.finished - o.arrived for o in outcomes if o.finished], 0.95
     )
 
 
 def compute_first_part_p95(outcomes: Iterable[Outcome]) -> float:
-    """Return the p95 of seconds until answers began."""
+    """Return the 95th percentile of seconds to the first token."""
     return find_quantile(
         [o.first - o.arrived for o in outcomes if o.first], 0.95
     )
 
 
 def play_heavy(seed: int, **options: Any) -> list[Outcome]:
-    """Play one workspace at ten times its share; return the others'."""
+    """Simulate one workspace at ten times its fair share of the capacity.
+
+    Returns:
+        The outcomes of the other workspaces.
+    """
     outcomes = play_checks({**LIGHT, "heavy": 2.0}, seed, **options)
     return [o for o in outcomes if o.call.workspace != "heavy"]
 
 
 def slow_always(factor: float) -> Slowdown:
-    """Return a slowdown over the time of the fault."""
+    """Return a slowdown by ``factor`` from ``SLOW_BEGIN`` to ``SLOW_END``."""
     return lambda now, running: factor if SLOW_BEGIN <= now < SLOW_END else 1.0
 
 
 def slow_when_busy(now: float, running: int) -> float:
-    """Slow down ten times while more than half of the slots are taken."""
+    """Return a slowdown by ten while more than half of the slots are busy."""
     return 10.0 if SLOW_BEGIN <= now < SLOW_END and running > 4 else 1.0
 
 
 def play_slow(
     slowdown: Slowdown | None, seed: int, load: float = 0.7, **options: Any
 ) -> tuple[Player, list[Outcome]]:
-    """Play a runner that is slow for a while."""
+    """Simulate a runner that is slow from ``SLOW_BEGIN`` to ``SLOW_END``."""
     player = Player(make_declaration(RUNNERS, SLOTS), seed, **options)
     if slowdown is not None:
         player.runners[SLOW].slowdown = slowdown
@@ -143,7 +149,7 @@
 def compute_slow_runner_share(
     outcomes: Iterable[Outcome], begin: float, end: float
 ) -> float:
-    """Return the part of new work that the slow runner got."""
+    """Return the fraction of dispatches that went to the slow runner."""
     sent = [
         o
         for o in outcomes
@@ -155,11 +161,17 @@
 def play_mixed(
     drafts: float, checks: float, seed: int, **options: Any
 ) -> tuple[float, int]:
-    """Play drafts and checks as parts of the capacity.
+    """Simulate long drafts and short checks side by side.
+
+    Args:
+        drafts: Rate of the drafts as a fraction of the capacity.
+        checks: Rate of the checks as a fraction of the capacity.
+        seed: Seed of the arrivals and the decisions.
+        options: Keyword arguments of the player.
 
     Returns:
-        The checks' p95 in seconds until the first part, and the drafts'
-        tokens.
+        The 95th percentile of the checks' seconds to the first token, and the
+        number of tokens of the drafts that finished in ``MIXED_WINDOW``.
     """
     player = Player(make_declaration(RUNNERS, SLOTS), seed, **options)
     begin, end = MIXED_WINDOW
@@ -193,7 +205,16 @@
 def draw_prefixed(
     rng: Random, load: float, groups: int, skew: float
 ) -> list[Call]:
-    """Draw calls whose first blocks are shared by a group of callers."""
+    """Draw calls whose first prompt blocks are shared within a group.
+
+    The popularity of the groups follows a Zipf distribution.
+
+    Args:
+        rng: Seeded generator.
+        load: Arrival rate as a fraction of the capacity.
+        groups: Number of groups of callers.
+        skew: Exponent of the distribution.
+    """
     weights = [1 / (rank + 1) ** skew for rank in range(groups)]
     seconds = OWN_BLOCKS * BLOCK * PREFILL_SECONDS + 50 * TOKEN_SECONDS
     time = 0.0
@@ -220,24 +241,26 @@
 def play_prefixes(
     load: float, groups: int, skew: float, seed: int = 1, **options: Any
 ) -> tuple[float, float]:
-    """Play groups of callers that share prompts.
+    """Simulate groups of callers that share prompt prefixes.
 
     Returns:
-        The part of reusable tokens that was reused, and the largest work of
-        a runner over the mean.
+        The fraction of reusable prompt tokens that was reused, and the ratio
+        of the largest work of a runner to the mean.
     """
     player = Player(make_declaration(RUNNERS, SLOTS), seed, **options)
-    fakes = player.runners.values()
+    simulated_runners = player.runners.values()
     work: dict[str, float] = {}
     player.schedule(
         PREFIX_WINDOW.begin,
-        lambda: work.update({f.runner.name: f.work for f in fakes}),
+        lambda: work.update(
+            {r.runner.name: r.work for r in simulated_runners}
+        ),
     )
     outcomes = player.play(
         draw_prefixed(Random(seed), load, groups, skew), PREFIX_WINDOW.end
     )
-    # An all-knowing router with caches without end reuses all that any
-    # request brought before: no router can do better.
+    # Upper bound: a router with full knowledge and unlimited caches reuses
+    # every block that any earlier request contained.
     seen: set[int] = set()
     reusable = reused = 0
     for outcome in outcomes:
@@ -247,7 +270,7 @@
             reusable += BLOCK * len(seen.intersection(outcome.call.prefix))
             reused += outcome.reused
         seen.update(outcome.call.prefix)
-    loads = [fake.work - work[fake.runner.name] for fake in fakes]
+    loads = [fake.work - work[fake.runner.name] for fake in simulated_runners]
     return reused / reusable, max(loads) * len(loads) / sum(loads)
 
 
@@ -258,7 +281,14 @@
 def play_lost_domain(
     load: float, notice: bool, gateways: int, seed: int = 1
 ) -> list[Outcome]:
-    """Play the loss of one of three failure domains."""
+    """Simulate the loss of one of three failure domains.
+
+    Args:
+        load: Arrival rate as a fraction of the capacity.
+        notice: Whether the gateways are notified before the loss.
+        gateways: Number of gateways.
+        seed: Seed of the arrivals and the decisions.
+    """
     player = Player(make_declaration(9, SLOTS), seed, gateways=gateways)
     checks = compute_capacity(9, SLOTS, CHECK) * load * 0.7
     drafts = compute_capacity(9, SLOTS, DRAFT) * load * 0.3
@@ -275,7 +305,7 @@
 
 
 def list_recovery_seconds(outcomes: Iterable[Outcome]) -> list[float]:
-    """Return the seconds until requests of the lost domain ran again."""
+    """Return the seconds from the loss until each retry was dispatched."""
     return [
         o.dispatched - LOST_AT
         for o in outcomes
@@ -284,7 +314,7 @@
 
 
 def main() -> None:
-    """Print the figures of all cases."""
+    """Print the metrics of all load patterns."""
     deciders: dict[str, dict[str, Any]] = {
         "1 gateway": {},
         "5 gateways": {"gateways": 5},
@@ -329,8 +359,9 @@
         after = play_heavy(seed, **options)
         print(
             f"heavy workspace, {name}, seed {seed}: others' p95 whole x"
-            f"{compute_answer_p95(after) / compute_answer_p95(before):.2f}, first"
-            f" {compute_first_part_p95(before):.2f} -> {compute_first_part_p95(after):.2f} s,"
+            f"{compute_answer_p95(after) / compute_answer_p95(before):.2f},"
+            f" first {compute_first_part_p95(before):.2f} ->"
+            f" {compute_first_part_p95(after):.2f} s,"
             f" in time {compute_good_share(after):.3f}"
         )
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""Decision time per request as the number of runners grows.
+"""Measures the decision time per request by the number of runners.
 
-Run ``python -m bench.decisions``. Absolute times are this machine's; what is
-to be read is the ratio to the smallest fleet in the same run.
+Run ``python -m bench.decisions``. Absolute times depend on the machine;
+compare the ratios to the smallest fleet of the same run.
 """
 
 import gc
@@ -29,12 +29,12 @@
 FLEETS = (10, 100, 1000, 2800)
 REQUESTS = 4000
 RUNS = 3
-# The users' target: 320 daemons before 2,800 runners.
+# Target deployment: 320 gateway daemons for 2,800 runners.
 RUNNERS_PER_GATEWAY = 2800 / 320
 
 
 def make_request(number: int, rng: Random, now: float) -> RequestRow:
-    """Make a check whose prompt shares blocks with a group's others."""
+    """Return a check that shares prompt blocks with the rest of its group."""
     group = rng.randrange(50)
     prefix = (*range(group * 100, group * 100 + 8), 10**6 + number)
     name = f"q{number}"
@@ -55,19 +55,19 @@
 
 
 def measure(runners: int, load: float, every: int) -> dict[str, float]:
-    """Return median microseconds per event kind.
+    """Return the median microseconds per kind of event.
 
     Args:
         runners: Size of the fleet.
-        load: Requests in flight, as a part of the gateway's slots.
-        every: One request ends for this many that arrive.
+        load: Requests in flight as a fraction of the gateway's slots.
+        every: Number of arrivals for each request that ends.
     """
     rng = Random(1)
     gateways = max(1, round(runners / RUNNERS_PER_GATEWAY))
     tables = GatewayTables("g0", gateways)
     decide(tables, Declared(make_declaration(runners)), 0.0, rng)
     names = list(tables.pools["model"].loads)
-    flights: list[tuple[str, str]] = []
+    in_flight: list[tuple[str, str]] = []
     spent: dict[str, list[float]] = {
         "arrived": [],
         "finished": [],
@@ -83,28 +83,32 @@
         spent[kind].append(perf_counter() - begin)
         for action in actions:
             if isinstance(action, Dispatch):
-                flights.append((action.request_id, action.runner))
+                in_flight.append((action.request_id, action.runner))
                 first = FirstToken(action.request_id, action.runner)
                 decide(tables, first, now + 0.1, rng)
 
     for number in range(REQUESTS):
         now += 0.01
         run("arrived", Arrived(make_request(number, rng, now)))
-        most = load * tables.pools["model"].quota
-        if flights and len(flights) >= most and number % every == 0:
-            run("finished", Finished(*flights.pop(0), 50))
+        max_in_flight = load * tables.pools["model"].quota
+        if (
+            in_flight
+            and len(in_flight) >= max_in_flight
+            and number % every == 0
+        ):
+            run("finished", Finished(*in_flight.pop(0), 50))
         name = names[number % len(names)]
         own = tables.pools["model"].loads[name].own
         run("reported", Reported(LoadReport(name, now, own, 0, 0)))
-        if flights:
-            run("progress", Progress(*flights[-1], 1))
+        if in_flight:
+            run("progress", Progress(*in_flight[-1], 1))
         if number % 5 == 0:
             run("tick", Tick())
     return {kind: median(times) * 1e6 for kind, times in spent.items()}
 
 
 def main() -> None:
-    """Print a table of medians and their ratios to the smallest fleet."""
+    """Print the medians and their ratios to the smallest fleet."""
     gc.disable()
     for load, every in ((0.7, 1), (1.0, 2)):
         base: dict[str, float] = {}
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""Shows the whole path: a draft, a check, a booking, a killed runner."""
+"""Demo of a complete system: a draft, a check, a booking, a killed runner."""
 
 import asyncio
 import signal
@@ -19,11 +19,11 @@
 from lagoonpost.http.message import Response
 
 TOKENS = 120
-KILL_AT = 30
+KILL_AFTER_TOKENS = 30
 
 
 class Line(NamedTuple):
-    """One line of the closing table."""
+    """One line of the final result table."""
 
     step: str
     ok: bool
@@ -31,7 +31,14 @@
 
 
 class Draft(NamedTuple):
-    """What a caller got of a draft."""
+    """The part of a draft that a caller received.
+
+    Attributes:
+        text: Concatenated tokens.
+        tokens: Number of tokens.
+        resumed: Number of times the stream was resumed.
+        end: Finish reason, detail of the problem, or ``cut``.
+    """
 
     text: str
     tokens: int
@@ -40,7 +47,7 @@
 
 
 def make_body(prompt: str, tokens: int = TOKENS) -> dict[str, Any]:
-    """Return a chat-completions request."""
+    """Return the body of a chat-completions request."""
     return {
         "model": "assistant",
         "messages": [{"role": "user", "content": prompt}],
@@ -49,7 +56,7 @@
 
 
 async def find_busy_engine(system: LocalSystem) -> str | None:
-    """Return the engine that generates something now."""
+    """Return the first engine that is running a request, or None."""
     client = Client()
     try:
         for name in system.engines:
@@ -68,7 +75,7 @@
 async def run_draft(
     system: LocalSystem, caller: Caller, body: dict[str, Any], kill: bool
 ) -> Draft:
-    """Stream a draft; kill its runner in the middle if asked to."""
+    """Stream a draft; with ``kill``, kill its runner midway."""
     texts: list[str] = []
     resumed = 0
     end = "cut"
@@ -82,48 +89,50 @@
                 end = finish_reason
             case Problem():
                 end = event.detail
-        if kill and len(texts) == KILL_AT:
+        if kill and len(texts) == KILL_AFTER_TOKENS:
             kill = False
             busy = await find_busy_engine(system)
             if busy is not None:
                 system.processes[busy].send(signal.SIGKILL)
-                print(f"  killed {busy} after {KILL_AT} tokens")
+                print(f"  killed {busy} after {KILL_AFTER_TOKENS} tokens")
     return Draft("".join(texts), len(texts), resumed, end)
 
 
 async def play(system: LocalSystem) -> list[Line]:
-    """Run the steps and return what happened."""
+    """Run the steps of the demo and return one line for each."""
     entries = [system.addresses[name] for name in system.gateways]
     caller = Caller(entries, "demo-key")
     body = make_body("A term plan for wheel classes in spring")
     try:
-        calm = await run_draft(system, caller, body, kill=False)
+        reference = await run_draft(system, caller, body, kill=False)
         check = await caller.call("GET", "/v1/services/booking/checks/kiln")
         path = "/v1/services/booking/bookings"
         booking = await caller.call("POST", path, b'{"wheel": 3}', key="k-1")
         again = await caller.call("POST", path, b'{"wheel": 3}', key="k-1")
-        rough = await run_draft(system, caller, body, kill=True)
+        faulty = await run_draft(system, caller, body, kill=True)
     finally:
         caller.close()
-    same = isinstance(booking, Response) and isinstance(again, Response)
+    both_answered = isinstance(booking, Response) and isinstance(
+        again, Response
+    )
     return [
         Line(
             "draft",
-            calm.end in ("stop", "length") and calm.tokens > 0,
-            f"{calm.tokens} tokens, {calm.end}",
+            reference.end in ("stop", "length") and reference.tokens > 0,
+            f"{reference.tokens} tokens, {reference.end}",
         ),
         Line("check", isinstance(check, Response), _describe(check)),
         Line("booking", isinstance(booking, Response), _describe(booking)),
         Line(
             "same booking again",
-            same and booking[2] == again[2],
+            both_answered and booking[2] == again[2],
             _describe(again),
         ),
         Line(
             "draft, runner killed",
-            rough.text == calm.text and rough.end == calm.end,
-            f"{rough.tokens} tokens, {rough.end}, "
-            f"{'whole' if rough.text == calm.text else 'NOT whole'}",
+            faulty.text == reference.text and faulty.end == reference.end,
+            f"{faulty.tokens} tokens, {faulty.end}, "
+            f"{'whole' if faulty.text == reference.text else 'NOT whole'}",
         ),
     ]
 
--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -1,4 +1,4 @@
-"""Measures what a gateway holds and does for a declaration of any size."""
+"""Measures a gateway's memory and CPU time by the size of the declaration."""
 
 import argparse
 import json
@@ -34,7 +34,7 @@
 
 
 def make_declaration(runners: int, revision: int) -> Declaration:
-    """Return a declaration with so many runners of two services."""
+    """Return a declaration with ``runners`` runners of two services."""
     chat = Route("/v1/chat/completions", "draft", True, 1.9, 0.038)
     check = Route("checks/*", "check", True, 0.3)
     services = (
@@ -64,30 +64,30 @@
 
 
 def measure_declaration(runners: int) -> dict[str, float]:
-    """Return memory of the tables and the time of one change."""
+    """Return the memory of the tables and the time to apply a change."""
     tracemalloc.start()
     declaration = make_declaration(runners, 1)
     tables = GatewayTables("gateway-1", GATEWAYS)
     rng = random.Random(1)
     decide(tables, GatewaysChanged(GATEWAYS), 0.0, rng)
     decide(tables, Declared(declaration), 0.0, rng)
-    held = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     times = []
     for revision in range(2, 2 + REPEATS):
         changed = make_declaration(runners, revision)
-        began = time.perf_counter()
+        started = time.perf_counter()
         decide(tables, Declared(changed), float(revision), rng)
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started)
     return {
         "runners": runners,
-        "mb": held / 1e6,
+        "mb": allocated / 1e6,
         "change_ms": statistics.median(times) * 1e3,
     }
 
 
 def measure_entries(gateways: int) -> dict[str, float]:
-    """Return the time to work out all workspaces' entry lists."""
+    """Return the time to compute the entry lists of all workspaces."""
     members = [
         EntryMember(f"gateway-{n}", "", "r1", f"domain-{n % DOMAINS}")
         for n in range(gateways)
@@ -95,9 +95,9 @@
     weights = {f"w{n}": 1.0 + n % 5 for n in range(WORKSPACES)}
     times = []
     for _ in range(REPEATS):
-        began = time.perf_counter()
+        started = time.perf_counter()
         assign_entries(members, weights)
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started)
     return {
         "gateways": gateways,
         "workspaces": WORKSPACES,
@@ -106,7 +106,11 @@
 
 
 def measure_idle(engines: int) -> dict[str, float]:
-    """Return what a gateway that polls so many engines costs when idle."""
+    """Return the CPU share and memory of an idle gateway.
+
+    Args:
+        engines: Number of engines that the gateway polls.
+    """
     system = LocalSystem(gateways=1, engines=engines, services=1)
     try:
         system.start()
@@ -127,16 +131,16 @@
 
 
 def main() -> None:
-    """Measure all and print it."""
+    """Run all measurements and print a report as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--engines", type=int, nargs="*", default=[1, 8, 16])
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     report: dict[str, Any] = {
         "declaration": [
             measure_declaration(runners) for runners in (10, 100, 1000, 2800)
         ],
         "entries": [measure_entries(count) for count in (9, 72, 320)],
-        "idle": [measure_idle(count) for count in given.engines],
+        "idle": [measure_idle(count) for count in arguments.engines],
     }
     print(json.dumps(report, indent=2))
 
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,4 +1,4 @@
-"""Measures one gateway process against calling its engines directly."""
+"""Compares calls through one gateway with direct calls to its engines."""
 
 import argparse
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class Sample:
-    """CPU time and memory of one process over a run."""
+    """CPU time and memory of a process, measured over one load run."""
 
     def __init__(self, pid: int) -> None:
         self._process = psutil.Process(pid)
@@ -24,7 +24,7 @@
         return float(times.user + times.system)
 
     def describe(self, result: LoadResult) -> dict[str, float]:
-        """Return the share of a core and the cost of each token."""
+        """Return the share of a core, CPU time per token, and memory."""
         spent = self._read() - self._before
         return {
             "cpu_share": spent / result.elapsed,
@@ -34,17 +34,17 @@
 
 
 def main() -> None:
-    """Run both ways with the same arrivals and print the ratios."""
+    """Run the same load directly and through the gateway; print both."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rate", type=float, default=20.0)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--token-rate", type=float, default=30.0)
     parser.add_argument("--engines", type=int, default=4)
-    given = parser.parse_args()
-    options = ("--token-rate", str(given.token_rate), "--slots", "256")
+    arguments = parser.parse_args()
+    options = ("--token-rate", str(arguments.token_rate), "--slots", "256")
     system = LocalSystem(
         gateways=1,
-        engines=given.engines,
+        engines=arguments.engines,
         services=1,
         engine_options=options,
         slots=256,
@@ -53,7 +53,7 @@
         system.start()
         engines = tuple(system.addresses[name] for name in system.engines)
         gateway = (system.addresses["gateway-1"],)
-        plan = LoadPlan(engines, "", given.rate, given.seconds, TOKENS)
+        plan = LoadPlan(engines, "", arguments.rate, arguments.seconds, TOKENS)
         direct = asyncio.run(run_load(plan))
         sample = Sample(system.processes["gateway-1"].pid)
         plan = plan._replace(addresses=gateway, key="demo-key", seed=2)
--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -1,8 +1,9 @@
-"""Measures what membership and gossip cost one member, by their number.
+"""Measures the cost of membership and gossip per member by cluster size.
 
-Real processes on the loopback interface, one for each member. Bytes are
-counted where grpclib meets the transport; 52 bytes of IP and TCP head are
-added for each read and write, as each is about a segment or its answer.
+Each member is a process on the loopback interface. Bytes are counted between
+grpclib and the transport; 52 bytes of IP and TCP headers are added for each
+read and write and again for its acknowledgement, as each call corresponds to
+about one segment.
 """
 
 import asyncio
@@ -18,16 +19,24 @@
 import numpy
 import psutil
 
-HEAD_BYTES = 52
-# 4,700 changes of configuration a day, and 1,904 reclaimable runners and
-# 220 hosts that leave once a day, spread evenly.
+HEADER_BYTES = 52
+# Per day: 4,700 configuration changes, and one departure of each of 1,904
+# reclaimable runners and 220 hosts, spread evenly.
 FACTS_PER_SECOND = (4700 + 1904 + 220) / 86400
-TARGET = 320
+TARGET_MEMBERS = 320
 BUDGETS = {"bytes/s": 3000.0, "core %": 2.0, "RSS MB": 64.0, "all s": 2.0}
 
 
 class Plan(NamedTuple):
-    """How the members are started and for how long they are measured."""
+    """Settings of the members and of the measurement.
+
+    Attributes:
+        seconds: Length of the steady phase, with evenly spread facts.
+        burst: Number of facts published in the burst.
+        regions: Number of regions.
+        channels: Connections that each member keeps open.
+        rings: Value of ``membership.RINGS``; 1000 connects all members.
+    """
 
     seconds: float
     burst: int
@@ -37,7 +46,7 @@
 
 
 class Member:
-    """A started process."""
+    """A member process, controlled over its standard input and output."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self._process = process
@@ -45,18 +54,18 @@
         self.usage = psutil.Process(process.pid)
 
     async def read(self) -> str:
-        """Return the next line that the process printed."""
+        """Return the next line of the process's standard output."""
         assert self._process.stdout
         line = await self._process.stdout.readline()
         return line.decode().strip()
 
     def send_command(self, command: str) -> None:
-        """Send a command."""
+        """Write one command line to the process."""
         assert self._process.stdin
         self._process.stdin.write(f"{command}\n".encode())
 
     async def report(self) -> dict[str, Any]:
-        """Return what the member has counted, with its usage."""
+        """Return the member's counters and its resource usage."""
         self.send_command("report")
         report: dict[str, Any] = json.loads(await self.read())
         times = self.usage.cpu_times()
@@ -67,7 +76,7 @@
         return report
 
     async def stop(self) -> None:
-        """End the process and wait for it."""
+        """Close the input and wait for the exit; kill after 20 seconds."""
         assert self._process.stdin
         self._process.stdin.close()
         try:
@@ -81,7 +90,7 @@
 async def start_member(
     number: int, seeds: Sequence[str], plan: Plan
 ) -> Member:
-    """Start one member process."""
+    """Start a member process and read its address."""
     region = f"region{number % plan.regions}"
     options = [
         f"--name=gateway-{number:03}",
@@ -108,7 +117,7 @@
 async def start_all(
     size: int, plan: Plan, stack: contextlib.AsyncExitStack
 ) -> list[Member]:
-    """Start the members and wait until each knows all."""
+    """Start the members and wait until each one lists all others."""
     members: list[Member] = []
     seeds: list[str] = []
     for number in range(size):
@@ -127,7 +136,14 @@
 async def publish(
     members: Sequence[Member], rate: float, seconds: float, prefix: str
 ) -> None:
-    """Publish facts at random members, evenly for some seconds."""
+    """Publish facts at random members, evenly spread.
+
+    Args:
+        members: The members.
+        rate: Facts per second.
+        seconds: Length of the phase.
+        prefix: Prefix of the keys; also the seed.
+    """
     rng = random.Random(prefix)
     count = max(1, round(rate * seconds))
     for number in range(count):
@@ -136,19 +152,21 @@
 
 
 def measure_traffic(before: dict[str, Any], after: dict[str, Any]) -> float:
-    """Return bytes in and out between two reports, heads included."""
+    """Return bytes in and out between two reports, including headers."""
     counts = {
         name: after["counts"][name] - before["counts"][name]
         for name in after["counts"]
     }
-    plain = counts["bytes_in"] + counts["bytes_out"]
-    return float(plain + HEAD_BYTES * 2 * (counts["reads"] + counts["writes"]))
+    payload = counts["bytes_in"] + counts["bytes_out"]
+    return float(
+        payload + HEADER_BYTES * 2 * (counts["reads"] + counts["writes"])
+    )
 
 
 def measure_spread(
     reports: Sequence[dict[str, Any]], prefix: str
 ) -> list[float]:
-    """Return for each fact the seconds until all members knew it."""
+    """Return for each fact the seconds until every member received it."""
     spread = []
     for row in reports:
         for key, published in row["published"].items():
@@ -161,7 +179,7 @@
 
 
 async def measure(size: int, plan: Plan) -> dict[str, float]:
-    """Return the figures of one size."""
+    """Return the measurements at one cluster size."""
     async with contextlib.AsyncExitStack() as stack:
         members = await start_all(size, plan, stack)
         await asyncio.sleep(5.0)
@@ -200,7 +218,7 @@
 
 
 def print_table(rows: dict[int, dict[str, float]]) -> None:
-    """Print the figures by size, and lines through them."""
+    """Print the measurements by size and a linear fit of each one."""
     names = list(next(iter(rows.values())))
     print("members".rjust(8), *(name.rjust(12) for name in names))
     for size, row in rows.items():
@@ -210,22 +228,26 @@
     for name in names:
         values = [row[name] for row in rows.values()]
         slope, intercept = fit(list(rows), values)
-        at_target = intercept + slope * TARGET
+        at_target = intercept + slope * TARGET_MEMBERS
         budget = BUDGETS.get(name)
         print(
             f"{name}: {intercept:.3f} + {slope:.5f} x members,"
-            f" {at_target:.3f} at {TARGET}"
+            f" {at_target:.3f} at {TARGET_MEMBERS}"
             + (f" (budget {budget})" if budget else "")
         )
 
 
 @click.command()
 @click.argument("sizes", nargs=-1, type=int)
-@click.option("--seconds", default=40.0, help="Length of the even part.")
-@click.option("--burst", default=40, help="Facts of the ten-second burst.")
+@click.option("--seconds", default=40.0, help="Length of the steady phase.")
+@click.option(
+    "--burst", default=40, help="Facts published in the ten-second burst."
+)
 @click.option("--regions", default=1)
-@click.option("--channels", default=8, help="Connections kept; 0 for none.")
-@click.option("--rings", default=3, help="Neighbours; 1000 for all.")
+@click.option(
+    "--channels", default=8, help="Connections kept open; 0 for none."
+)
+@click.option("--rings", default=3, help="Number of neighbours; 1000 for all.")
 def main(
     sizes: Sequence[int],
     seconds: float,
--- a/bench/gossip_member.py
+++ b/bench/gossip_member.py
@@ -1,4 +1,4 @@
-"""One member for bench/gossip.py: obeys lines on its standard input."""
+"""Gossip member for bench/gossip.py, driven by lines on standard input."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 
 class Counts(NamedTuple):
-    """What went over this process's sockets."""
+    """Bytes and calls on the sockets of this process."""
 
     bytes_in: int = 0
     reads: int = 0
@@ -27,22 +27,25 @@
     writes: int = 0
     connections: int = 0
 
-    def add(self, **more: int) -> "Counts":
-        """Return the counts with some raised."""
+    def add(self, **increments: int) -> "Counts":
+        """Return the counts with the given fields increased."""
         fields = self._asdict()
         return self._replace(
-            **{name: fields[name] + value for name, value in more.items()}
+            **{
+                name: fields[name] + value
+                for name, value in increments.items()
+            }
         )
 
 
 class Meter:
-    """Counts bytes where grpclib hands them to and from the transport."""
+    """Counts bytes between grpclib and the transport."""
 
     def __init__(self) -> None:
         self.counts = Counts()
 
     def install(self) -> None:
-        """Count all connections that are made from now on."""
+        """Patch grpclib to count all connections made from now on."""
         protocol_type: Any = H2Protocol
         made = protocol_type.connection_made
         received = protocol_type.data_received
@@ -67,17 +70,17 @@
 
 
 class Program:
-    """Runs a member and answers the bench."""
+    """Runs a gossip member and executes the commands of the benchmark."""
 
     def __init__(self, settings: PeerSettings, channels: int) -> None:
         self.known: dict[str, float] = {}
         self.published: dict[str, float] = {}
         self.meter = Meter()
         self.meter.install()
-        self.peers = Peers(settings, self._note, self._ignore)
+        self.peers = Peers(settings, self._record_facts, self._ignore)
         self.peers._pool = pool.ChannelPool(channels)
 
-    def _note(self, facts: Sequence[Fact]) -> None:
+    def _record_facts(self, facts: Sequence[Fact]) -> None:
         for fact in facts:
             self.known.setdefault(fact.key, time.time())
 
@@ -85,7 +88,7 @@
         pass
 
     async def run(self) -> None:
-        """Start, then obey one command a line until the input ends."""
+        """Start, then execute one command per line until the input ends."""
         address = await self.peers.start()
         print(address, flush=True)
         reader = asyncio.StreamReader()
@@ -100,7 +103,8 @@
 
     def _do_publish(self, key: str) -> None:
         self.published[key] = time.time()
-        # 60 bytes of body, as a leaving runner's row or a ticket's digest.
+        # A body of 60 bytes, like the row of a leaving runner or the digest
+        # of a ticket.
         ends = self.published[key] + 3600
         self.peers.publish(Fact("runner_leaving", key, 1, b"x" * 60, ends))
 
@@ -131,7 +135,7 @@
     rings: int,
 ) -> None:
     """Run one member until standard input ends."""
-    # Only to weigh other ways of choosing neighbours against this one.
+    # Allows other numbers of neighbours to be compared with the default.
     membership.RINGS = rings
     settings = PeerSettings(
         name=name,
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load of streamed drafts over loopback, with histograms."""
+"""Open-loop load generator for streamed drafts, with histograms."""
 
 import asyncio
 import random
@@ -12,23 +12,23 @@
 
 MAX_MICROSECONDS = 60_000_000
 DIGITS = 3
-# A run that is stuck ends by itself.
+# Requests still open this long after the last arrival count as failed.
 DRAIN_TIMEOUT_SECONDS = 60.0
 _FIELD = b"id: "
 _REFUSED = (b"HTTP/1.1 503", b"HTTP/1.1 429")
 
 
 class LoadPlan(NamedTuple):
-    """What to send.
+    """Parameters of one load run.
 
     Attributes:
-        addresses: Servers, taken in turn.
-        key: Bearer key; empty for engines.
-        rate: Arrivals a second, Poisson distributed.
-        seconds: How long requests arrive.
-        tokens: Tokens of each answer.
+        addresses: Servers, used in turn.
+        key: Bearer key; empty when calling engines.
+        rate: Arrivals per second of a Poisson process.
+        seconds: Duration of the arrivals.
+        tokens: Number of tokens of each answer.
         seed: Seed of the arrivals.
-        first_seconds: Target until the first token.
+        first_seconds: Target for the time to first token.
     """
 
     addresses: tuple[Address, ...]
@@ -41,7 +41,20 @@
 
 
 class LoadResult:
-    """What callers got; times in microseconds."""
+    """Results of one load run; histograms are in microseconds.
+
+    Attributes:
+        first: Times to first token.
+        gaps: Gaps between tokens.
+        refusals: Times to refusal.
+        tokens: Tokens received.
+        sent: Requests sent.
+        whole: Complete answers.
+        in_time: Complete answers whose first token met the target.
+        refused: Refused requests.
+        failed: Requests without an answer or with an incomplete one.
+        elapsed: Duration of the run in seconds.
+    """
 
     def __init__(self) -> None:
         self.first = HdrHistogram(1, MAX_MICROSECONDS, DIGITS)
@@ -56,7 +69,7 @@
         self.elapsed = 0.0
 
     def describe(self) -> dict[str, float]:
-        """Return the figures as milliseconds and rates."""
+        """Return percentiles in milliseconds, rates and counts."""
         return {
             "first_median_ms": self.first.get_value_at_percentile(50) / 1e3,
             "first_p99_ms": self.first.get_value_at_percentile(99) / 1e3,
@@ -74,7 +87,7 @@
 
 
 async def run_load(plan: LoadPlan) -> LoadResult:
-    """Send drafts as planned and wait for all of them."""
+    """Send drafts according to the plan and wait for all of them."""
     result = LoadResult()
     rng = random.Random(plan.seed)
     started = time.perf_counter()
@@ -112,8 +125,8 @@
     first = 0.0
     whole = refused = False
     try:
-        # Counting bytes costs the load tool a tenth of what parsing would,
-        # so that it is not what is measured.
+        # Counting bytes costs a tenth of parsing the events, so that the load
+        # generator does not dominate the measurement.
         while data := await reader.read(65536):
             now = time.perf_counter()
             count = data.count(_FIELD)
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -1,7 +1,7 @@
-"""Plays version moves with seeds and counts what callers get.
+"""Simulates version moves with seeds and counts the harmed requests.
 
-Run ``python -m bench.moves [SEEDS]``; it prints one line for each case. The
-figures do not depend on the machine.
+Run ``python -m bench.moves [SEEDS]``; it prints one line per case. The
+results do not depend on the machine.
 """
 
 import sys
@@ -37,17 +37,23 @@
 GATEWAYS = tuple(f"gateway-{index}" for index in range(9))
 ROUTES = ("bookings", "checks/*")
 ROUTE_SHARES = (0.3, 0.7)
-QUESTIONS = ("failed", "slow")
+SYMPTOMS = ("failed", "slow")
 PROCESSES = 3
 
 Array = npt.NDArray[np.float64]
 Rates = tuple[float, float]
-"""Chance that a request fails, and that it is slow, 0 to 1."""
+"""Probability that a request fails, and that it is slow (0 to 1)."""
 GOOD: Rates = (0.002, 0.04)
 
 
 class Point(NamedTuple):
-    """Where in its move a route is when a chance is asked for."""
+    """State of a move at which a probability is evaluated.
+
+    Attributes:
+        route: Name of the route.
+        time: Seconds since the ticket.
+        share: Traffic share of the new version (0 to 1).
+    """
 
     route: str
     time: float
@@ -55,14 +61,14 @@
 
 
 class Case(NamedTuple):
-    """A kind of version and what it meets.
+    """A simulated new version and its conditions.
 
     Attributes:
-        good: Whether it should end as done.
-        new: Chances of the new version's requests.
-        old: Chances of the old version's requests.
-        rate: Requests a second over all routes and gateways.
-        seconds: From the ticket to the deadline.
+        good: Whether the move should complete.
+        new: Failure and slowness probabilities of the new version.
+        old: Failure and slowness probabilities of the old version.
+        rate: Requests per second over all routes and gateways.
+        seconds: Time from the ticket to the deadline.
     """
 
     good: bool
@@ -73,14 +79,14 @@
 
 
 class Result(NamedTuple):
-    """What one move ended with.
+    """Outcome of one move.
 
     Attributes:
-        outcome: As reported, or ``too_near``.
+        outcome: Reported outcome, or ``too_near``.
         ended: Seconds from the ticket to its end.
-        harmed: Requests of the new version that failed or were slow where
-            it does so more often than the old one; also those that meet it
-            while the trip spreads.
+        harmed: Requests to the new version that failed or were slow, counted
+            where it is worse than the old version. Includes the interval in
+            which the rollback decision spreads to all gateways.
         traffic: Requests of the service from the ticket to the deadline.
     """
 
@@ -124,27 +130,28 @@
 }
 
 
-class _Play:
-    """One move of one service, interval by interval."""
+class _MoveSimulation:
+    """Simulation of one move of one service, interval by interval."""
 
     def __init__(self, case: Case, ticket: int) -> None:
         self.case = case
         move = VersionMove("booking", "v1", "v2", case.seconds, ticket)
         self.row: MoveRow | DeadlineTooNear = begin_move(move, 0.0)
-        questions = [(r, q) for r in ROUTES for q in QUESTIONS]
-        self.evidence = dict.fromkeys(questions, Evidence())
+        symptoms = [(r, s) for r in ROUTES for s in SYMPTOMS]
+        self.evidence = dict.fromkeys(symptoms, Evidence())
         self.intervals = case.seconds / INTERVAL_SECONDS
         self.harmed = 0
 
     def step(self, now: float, rng: np.random.Generator) -> None:
-        """Play the interval that ends at ``now``."""
+        """Simulate the interval that ends at ``now``."""
         row = self.row
         if isinstance(row, DeadlineTooNear) or row.outcome != "moving":
             return
-        # What the last interval showed has spread by the end of this one.
+        # Evidence of the previous interval reaches all gateways by the end
+        # of this one.
         worse = [
-            f"{question} on {route}"
-            for (route, question), evidence in self.evidence.items()
+            f"{symptom} on {route}"
+            for (route, symptom), evidence in self.evidence.items()
             if is_worse(evidence, len(self.evidence))
         ]
         self._run(row, now, rng)
@@ -154,7 +161,7 @@
         self.row = finish_move(row, now)
 
     def get_result(self) -> Result:
-        """Return how the move ended."""
+        """Return the outcome of the move."""
         traffic = self.case.rate * self.case.seconds
         if isinstance(self.row, DeadlineTooNear):
             return Result("too_near", 0.0, self.harmed, traffic)
@@ -162,7 +169,7 @@
         return Result(row.outcome, row.ended, self.harmed, traffic)
 
     def _run(self, row: MoveRow, now: float, rng: np.random.Generator) -> None:
-        # Axes: question, route, version (new, old), gateway.
+        # Axes: symptom, route, version (new, old), gateway.
         begun = now - INTERVAL_SECONDS
         shares = _list_shares(row, begun)[None, :, :]
         mean = self.case.rate * INTERVAL_SECONDS / len(GATEWAYS)
@@ -173,25 +180,25 @@
         bad = rng.binomial(runs, chances)
         worse = chances[:, :, 0] != chances[:, :, 1]
         self.harmed += int((bad[:, :, 0] * worse).max(axis=0).sum())
-        weighs = bad.sum(axis=2)
-        for place, key in enumerate(self.evidence):
-            route, question = divmod(place, len(QUESTIONS))
+        observed = bad.sum(axis=2)
+        for index, key in enumerate(self.evidence):
+            route, symptom = divmod(index, len(SYMPTOMS))
             ratios = [
                 compute_log_ratios(
                     Counts(
                         float(shares[0, 0, gateway]),
-                        int(bad[question, route, 0, gateway]),
-                        int(bad[question, route, 1, gateway]),
+                        int(bad[symptom, route, 0, gateway]),
+                        int(bad[symptom, route, 1, gateway]),
                     )
                 )
-                for gateway in weighs[question, route].nonzero()[0]
+                for gateway in observed[symptom, route].nonzero()[0]
             ]
             self.evidence[key] = add_interval(
                 self.evidence[key], ratios, self.intervals
             )
 
     def _list_chances(self, now: float, shares: Array) -> Array:
-        chances = np.empty((len(QUESTIONS), len(ROUTES), 2, 1))
+        chances = np.empty((len(SYMPTOMS), len(ROUTES), 2, 1))
         for index, route in enumerate(ROUTES):
             point = Point(route, now, float(shares[0, 0].mean()))
             chances[:, index, 0, 0] = self.case.new(point)
@@ -205,8 +212,8 @@
 
 @cache
 def _list_stage_shares(ticket: int, stage: int) -> Array:
-    # The same shares for all moves with one ticket number, as its few first
-    # gateways depend on it alone.
+    # Cached by ticket number, because the gateways that serve the new version
+    # first depend on this number alone.
     row = begin_move(VersionMove("", "", "", MAX_RAMP_SECONDS, ticket), 0.0)
     assert isinstance(row, MoveRow)
     times = np.arange(0.0, MAX_RAMP_SECONDS, 10.0)
@@ -218,14 +225,17 @@
 
 
 def play(names: Sequence[str], seed: int) -> list[Result]:
-    """Play one case, or several side by side, with one seed."""
+    """Simulate one case, or several concurrently, with one seed."""
     rng = np.random.default_rng([*"".join(names).encode(), seed])
-    plays = [_Play(CASES[name], int(rng.integers(50)) + 1) for name in names]
+    simulations = [
+        _MoveSimulation(CASES[name], int(rng.integers(50)) + 1)
+        for name in names
+    ]
     longest = max(CASES[name].seconds for name in names)
     for interval in range(1, int(longest / INTERVAL_SECONDS) + 1):
-        for one in plays:
-            one.step(interval * INTERVAL_SECONDS, rng)
-    return [one.get_result() for one in plays]
+        for simulation in simulations:
+            simulation.step(interval * INTERVAL_SECONDS, rng)
+    return [simulation.get_result() for simulation in simulations]
 
 
 def _summarise(name: str, results: Sequence[Result]) -> str:
@@ -245,7 +255,7 @@
 
 
 def main(seeds: int) -> None:
-    """Print one line for each case."""
+    """Print one line for each case, over ``seeds`` seeds."""
     groups = [(name,) for name in CASES] + [("bad at once", "good")]
     with ProcessPoolExecutor(PROCESSES) as pool:
         for names in groups:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,4 +1,4 @@
-"""Plays overload, a burst and a slow runner over real processes."""
+"""Runs overload, recovery and a slow runner against real processes."""
 
 import argparse
 import asyncio
@@ -21,7 +21,7 @@
 
 
 def summarise(result: LoadResult, capacity: float) -> dict[str, float]:
-    """Return what callers got, as parts of what there was to get."""
+    """Return the results of a run, with goodput relative to capacity."""
     admitted = result.whole + result.failed
     return {
         "sent": result.sent,
@@ -35,7 +35,7 @@
 
 
 def set_fault(system: LocalSystem, name: str, fault: dict[str, Any]) -> None:
-    """Order a fault of a stand-in engine."""
+    """Set the faults that a stand-in engine injects."""
     address = system.addresses[name]
     connection = HTTPConnection(address.host, address.port, timeout=5.0)
     body = msgspec.json.encode(fault)
@@ -45,7 +45,7 @@
 
 
 def calibrate(system: LocalSystem) -> float:
-    """Return the answers a second that the engines give when never idle."""
+    """Return the answers per second of the engines at saturation."""
     engines = tuple(system.addresses[name] for name in system.engines)
     answers = ROUNDS * SLOTS * len(engines)
     plan = LoadPlan(engines, "", answers / 0.5, 0.5, TOKENS)
@@ -56,7 +56,14 @@
 def play(
     system: LocalSystem, capacity: float, load: float, seconds: float
 ) -> LoadResult:
-    """Send ``load`` times the capacity over all gateways."""
+    """Send load over all gateways.
+
+    Args:
+        system: The running system.
+        capacity: Answers per second at saturation.
+        load: Arrival rate as a multiple of the capacity.
+        seconds: Duration of the arrivals.
+    """
     entries = tuple(system.addresses[name] for name in system.gateways)
     rate = capacity * load
     plan = LoadPlan(
@@ -66,7 +73,7 @@
 
 
 def count_runs(system: LocalSystem, name: str) -> int:
-    """Return how many requests an engine ran so far."""
+    """Return the number of requests that an engine has run."""
     address = system.addresses[name]
     connection = HTTPConnection(address.host, address.port, timeout=5.0)
     connection.request("GET", "/standin/counts")
@@ -78,7 +85,7 @@
 def play_slow_runner(
     system: LocalSystem, capacity: float, factor: float
 ) -> dict[str, float]:
-    """Slow one engine down and return its part of new work."""
+    """Slow one engine down by ``factor``; return its share of new work."""
     slow = system.engines[0]
     play(system, capacity, 0.6, 5.0)
     set_fault(system, slow, {"slow": factor})
@@ -104,10 +111,10 @@
 
 
 def main() -> None:
-    """Play the patterns one after another and print what callers got."""
+    """Run the load patterns in sequence and print a report as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=SECONDS)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     system = LocalSystem(
         GATEWAYS,
         ENGINES,
@@ -127,7 +134,7 @@
         report["capacity_per_second"] = capacity
         play(system, capacity, 0.5, 5.0)
         for load in (0.7, 1.2, 2.0, 5.0, 0.7):
-            result = play(system, capacity, load, given.seconds)
+            result = play(system, capacity, load, arguments.seconds)
             name = f"load_{load}"
             while name in report:
                 name += "_again"
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,4 +1,4 @@
-"""Measures the choice of a runner for a forwarded request, by their number.
+"""Measures the time to choose a runner by the number of runners.
 
 Run: python -m bench.placement
 """
@@ -15,7 +15,7 @@
 
 COUNTS = (9, 70, 2800)
 CHOICES = 20_000
-"""Predictions in all for each count, so that each takes about as long."""
+"""Runner evaluations per count, so that all counts take similar time."""
 PROMPT = PlacementRequest(
     "chat",
     9000,
@@ -25,7 +25,7 @@
 
 
 def measure(count: int) -> float:
-    """Return the seconds of one choice among ``count`` runners."""
+    """Return the seconds per choice among ``count`` runners."""
     runners = [
         Endpoint(f"i-{n}", "chat", Address("10.0.0.1", 80), "a", "v1", 16)
         for n in range(count)
@@ -39,7 +39,7 @@
 
 
 def main() -> None:
-    """Print the time of a choice, and as a ratio to the fewest runners."""
+    """Print the time per choice and its ratio to the smallest count."""
     base = measure(COUNTS[0])
     for count in COUNTS:
         seconds = measure(count)
--- a/bench/player.py
+++ b/bench/player.py
@@ -1,7 +1,7 @@
-"""A seeded discrete-event player of load against the decisions.
+"""A seeded discrete-event simulator of callers, gateways and runners.
 
-It stands for callers, runners and late load reports on a fake clock, and
-drives ``decide`` as the gateway daemon does. Tests and benchmarks share it.
+It simulates callers, runners and delayed load reports on a fake clock, and
+calls ``decide`` as the gateway daemon does. Tests and benchmarks share it.
 """
 
 import itertools
@@ -47,8 +47,8 @@
 REPORT_LAG_SECONDS = 0.15
 PROGRESS_SECONDS = 0.1
 BLOCK = 64
-# Callers that heed no Retry-After come back after this long.
-RETURN_SECONDS = 0.2
+# Delay of callers that retry without regard to Retry-After.
+RETRY_SECONDS = 0.2
 Decide = Callable[[Any, Event, float, Random], list[Action]]
 
 
@@ -57,14 +57,23 @@
 
 
 class Player:
-    """Plays calls through gateways and runners on a fake clock.
+    """Simulates calls through gateways and runners on a fake clock.
 
     Args:
-        declaration: What is declared.
-        seed: Seed of everything random.
-        gateways: Number of gateways that decide on their own.
-        decider: The decisions; baselines bring their own.
-        tables: Makes the state of one gateway.
+        declaration: Declared services, runners and workspaces.
+        seed: Seed of every random choice.
+        gateways: Number of gateways that decide independently.
+        decider: Decision function of a gateway; baselines replace it.
+        tables: Returns the state of one gateway, from its index and the
+            number of gateways.
+
+    Attributes:
+        now: Simulated time in seconds.
+        runners: Simulated runners by name.
+        outcomes: Outcome of each call by request id.
+        log: Time and action of every decision.
+        store_down: Returns whether the store is down at a time.
+        store_down_since: Start of the outage in seconds.
     """
 
     def __init__(
@@ -87,42 +96,49 @@
         self._open = 0
         self.store_down: Callable[[float], bool] = lambda now: False
         self.store_down_since = 0.0
-        self._returning = True
+        self._retrying = True
         self._home: dict[str, int] = {}
         for index in range(gateways):
             self.send(index, Declared(declaration))
             self._tick(index)
-        self._report()
-        self._show_progress()
+        self._sample_load()
+        self._send_progress()
 
     def schedule(self, time: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Run ``action`` at a simulated time in seconds."""
         heappush(self._heap, (time, next(self._order), action))
 
     def play(self, calls: Iterable[Call], until: float) -> list[Outcome]:
-        """Send the calls and run the clock; return what callers got.
+        """Send the calls and run the clock.
 
         The clock stops at ``until``, or once every call has ended.
+
+        Args:
+            calls: Calls to send.
+            until: Latest simulated time in seconds.
+
+        Returns:
+            The outcome of each call, including retries.
         """
         for call in calls:
-            self._plan_call(call)
+            self._schedule_call(call)
         while self._open and self._heap[0][0] <= until:
             self.now, _, action = heappop(self._heap)
             action()
         return list(self.outcomes.values())
 
-    def _plan_call(self, call: Call) -> None:
+    def _schedule_call(self, call: Call) -> None:
         self._open += 1
         self.schedule(call.time, lambda: self.call(call))
 
     def call(self, call: Call) -> None:
-        """Let a caller send its request to one gateway."""
+        """Send the request of a caller to a random gateway."""
         request_id = f"q{len(self.outcomes)}"
         index = self.rng.randrange(len(self.tables))
         self._home[request_id] = index
         self.outcomes[request_id] = Outcome(call, self.now)
         if call.request_class == "booking" and self.store_down(self.now):
-            # Without the ledger a booking can't be claimed.
+            # Without the ledger, the gateway cannot claim a booking.
             down = self.now - self.store_down_since
             self._refuse(request_id, compute_outage_delay(down, self.rng))
             return
@@ -144,7 +160,7 @@
         self.send(index, Arrived(request))
 
     def send(self, index: int, event: Event) -> None:
-        """Give an event to a gateway and carry out its actions."""
+        """Pass an event to a gateway and execute the resulting actions."""
         actions = self.decider(self.tables[index], event, self.now, self.rng)
         for action in actions:
             self.log.append((self.now, action))
@@ -158,15 +174,20 @@
         outcome.refused = self.now
         outcome.retry_after = retry_after
         self._open -= 1
-        self._return(outcome.call, retry_after)
+        self._retry_refused(outcome.call, retry_after)
 
     def lose_runners(self, names: Iterable[str], notice: bool = True) -> None:
-        """Lose runners; their requests ask for others."""
-        gone = frozenset(names)
+        """Terminate runners; their requests fail and may be retried.
+
+        Args:
+            names: Names of the runners.
+            notice: Whether the gateways receive ``Leaving`` first.
+        """
+        lost = frozenset(names)
         if notice:
             for index in range(len(self.tables)):
-                self.send(index, Leaving(gone))
-        for name in gone:
+                self.send(index, Leaving(lost))
+        for name in lost:
             fake = self.runners[name]
             fake.alive = False
             fake.schedule_version += 1
@@ -178,14 +199,14 @@
                 self.send(job.gateway, failed)
 
     def stop_retries(self) -> None:
-        """Let refused callers give up from now on."""
-        self._returning = False
+        """Make callers that retry at once give up from now on."""
+        self._retrying = False
 
-    def _return(self, call: Call, retry_after: float | None) -> None:
-        if call.retries_at_once and self._returning:
-            self._plan_call(call._replace(time=self.now + RETURN_SECONDS))
+    def _retry_refused(self, call: Call, retry_after: float | None) -> None:
+        if call.retries_at_once and self._retrying:
+            self._schedule_call(call._replace(time=self.now + RETRY_SECONDS))
         elif call.honors_retry_after and retry_after is not None:
-            self._plan_call(call._replace(time=self.now + retry_after))
+            self._schedule_call(call._replace(time=self.now + retry_after))
 
     def _dispatch(self, index: int, action: Dispatch) -> None:
         fake = self.runners[action.runner]
@@ -201,18 +222,18 @@
             )
             self.schedule(self.now + 0.01, lambda: self.send(index, failed))
             return
-        held = fake.reuse(call.prefix)
-        outcome.reused = held * BLOCK
-        prefill = max(1, call.prompt - held * BLOCK) * PREFILL_SECONDS
+        cached = fake.reuse(call.prefix)
+        outcome.reused = cached * BLOCK
+        prefill = max(1, call.prompt - cached * BLOCK) * PREFILL_SECONDS
         decode = call.output * TOKEN_SECONDS
         fake.work += prefill + decode
         job = Job(action.request_id, index, prefill, decode, call.output)
         fake.advance(self.now)
         fake.waiting.append(job)
         fake.start()
-        self._plan(fake)
+        self._schedule_step(fake)
 
-    def _plan(self, fake: FakeRunner) -> None:
+    def _schedule_step(self, fake: FakeRunner) -> None:
         fake.schedule_version += 1
         while fake.steps and fake.steps[0][2] not in fake.running:
             heappop(fake.steps)
@@ -220,9 +241,9 @@
             return
         wait = (fake.steps[0][0] - fake.virtual) / fake.rate(self.now)
         stamp = fake.schedule_version
-        # A slowdown that sets in meanwhile is met by planning again.
-        soon = min(max(wait, 0.0), 0.25)
-        self.schedule(self.now + soon, lambda: self._step(fake, stamp))
+        # Rescheduling within 0.25 s picks up a slowdown that starts meanwhile.
+        delay = min(max(wait, 0.0), 0.25)
+        self.schedule(self.now + delay, lambda: self._step(fake, stamp))
 
     def _step(self, fake: FakeRunner, stamp: int) -> None:
         if stamp != fake.schedule_version:
@@ -234,13 +255,13 @@
             job = fake.running.get(request_id)
             if job is None:
                 continue
-            done.append((job.gateway, self._show(fake, job, kind)))
+            done.append((job.gateway, self._complete_step(fake, job, kind)))
         fake.start()
-        self._plan(fake)
+        self._schedule_step(fake)
         for index, event in done:
             self.send(index, event)
 
-    def _show(self, fake: FakeRunner, job: Job, kind: str) -> Event:
+    def _complete_step(self, fake: FakeRunner, job: Job, kind: str) -> Event:
         outcome = self.outcomes[job.id]
         name = fake.runner.name
         if kind == "first":
@@ -252,7 +273,7 @@
         self._open -= 1
         return Finished(job.id, name, job.output)
 
-    def _show_progress(self) -> None:
+    def _send_progress(self) -> None:
         for fake in self.runners.values():
             fake.advance(self.now)
             for job in list(fake.running.values()):
@@ -263,13 +284,13 @@
                     job.reported_tokens += tokens
                     name = fake.runner.name
                     self.send(job.gateway, Progress(job.id, name, tokens))
-        self.schedule(self.now + PROGRESS_SECONDS, self._show_progress)
+        self.schedule(self.now + PROGRESS_SECONDS, self._send_progress)
 
     def _tick(self, index: int) -> None:
         self.send(index, Tick())
         self.schedule(self.now + TICK_SECONDS, lambda: self._tick(index))
 
-    def _report(self) -> None:
+    def _sample_load(self) -> None:
         for fake in self.runners.values():
             if fake.alive:
                 report = LoadReport(
@@ -283,7 +304,7 @@
                     self.now + REPORT_LAG_SECONDS,
                     lambda report=report: self._deliver(report),  # type: ignore[misc]
                 )
-        self.schedule(self.now + REPORT_SECONDS, self._report)
+        self.schedule(self.now + REPORT_SECONDS, self._sample_load)
 
     def _deliver(self, report: LoadReport) -> None:
         for index in range(len(self.tables)):
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -1,4 +1,4 @@
-"""Calls to the processes of a local system, for stories and benchmarks."""
+"""Calls to the processes of a local system, for scenarios and benchmarks."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
     body: bytes = b"",
     headers: Headers = (),
 ) -> Response:
-    """Call over a connection of its own."""
+    """Send one request over a new connection and return the response."""
     client = Client()
     try:
         return await client.call(
@@ -38,7 +38,14 @@
 async def book(
     system: LocalSystem, gateway: str, key: str, body: bytes = b"pitch 9"
 ) -> Response:
-    """Send a booking of the workspace ``pottery`` to a gateway."""
+    """Send a booking of the workspace ``pottery`` to a gateway.
+
+    Args:
+        system: The running system.
+        gateway: Name of the gateway.
+        key: Idempotency key.
+        body: Body of the booking.
+    """
     headers = (
         ("authorization", "Bearer demo-key"),
         ("idempotency-key", key),
@@ -49,20 +56,20 @@
 
 
 async def set_faults(address: Address, faults: dict[str, Any]) -> None:
-    """Give a stand-in its faults, in place of the ones before."""
+    """Replace the faults that a stand-in injects."""
     body = msgspec.json.encode(faults)
     answer = await send(address, "POST", "/standin/faults", body)
     assert answer.status == 200, answer
 
 
 async def fetch_counts(address: Address) -> dict[str, Any]:
-    """Return what a stand-in has counted."""
+    """Return the counters of a stand-in."""
     answer = await send(address, "GET", "/standin/counts")
     return msgspec.json.decode(answer.body, type=dict[str, Any])
 
 
 async def count_runs(system: LocalSystem, key: str) -> int:
-    """Return how often all live booking runners ran a key."""
+    """Return how many times the live booking runners ran a key."""
     runs = 0
     for name in system.services:
         if system.processes[name].is_running():
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,8 +1,8 @@
-"""Relaying tokens: against reading an engine directly, and per reclaim.
+"""Measures the cost of relaying tokens, and of reclaiming a runner.
 
-Run ``python -m bench.relay``. An engine stand-in runs as a process of its
-own; one process then reads its answers directly and through the relay, in
-turn, and the figures are ratios within this run.
+Run ``python -m bench.relay``. An engine stand-in runs in a separate process.
+This process alternates between reading its answers directly and through the
+relay. The results are ratios within one run.
 """
 
 import asyncio
@@ -31,30 +31,30 @@
 from lagoonpost.systems.relay_event import FailureKind
 from lagoonpost.tables.entity import Runner
 
-# The stand-in engine is Python as well and saturates a core above this.
+# With more streams the stand-in engine, also in Python, saturates a core.
 STREAMS = 100
 TOKENS = 200
 ROUNDS = 5
-TARGET_GAP = 0.038
+TARGET_GAP_SECONDS = 0.038
 DRAFTS = 8
 RECLAIM_TOKENS = 400
-RECLAIM_AT = 200
+RECLAIM_AFTER_TOKENS = 200
 
 
 class Rate(NamedTuple):
-    """Tokens and the processor seconds that this process spent on them."""
+    """Tokens read and the CPU seconds that this process spent on them."""
 
     tokens: int
     cpu: float
 
     @property
     def per_core(self) -> float:
-        """Tokens a second at a whole core."""
+        """Tokens per second of CPU time."""
         return self.tokens / self.cpu
 
 
 class Engine:
-    """An engine stand-in in a process of its own."""
+    """An engine stand-in in a separate process."""
 
     def __init__(self, name: str, *options: str) -> None:
         address = Address("127.0.0.1", find_port())
@@ -68,7 +68,7 @@
         )
 
     async def wait_ready(self, client: Client) -> None:
-        """Wait until it answers."""
+        """Wait until the stand-in answers."""
         async with asyncio.timeout(20):
             while True:
                 try:
@@ -79,7 +79,7 @@
                     return
 
     async def count(self, client: Client) -> dict[str, int]:
-        """Return what it has done."""
+        """Return the counters of the stand-in."""
         address = parse_address(self.runner.endpoint)
         answer = await client.call(
             address, "GET", "/standin/counts", timeout=5
@@ -88,7 +88,7 @@
         return counts
 
     def kill(self) -> None:
-        """End it without notice."""
+        """Kill the process without notice."""
         self._popen.send_signal(signal.SIGKILL)
         self._popen.wait()
 
@@ -141,8 +141,8 @@
 
 
 async def measure_relay() -> None:
-    """Print tokens a second and core, directly and relayed."""
-    rate = str(1 / TARGET_GAP)
+    """Print tokens per second and core, read directly and relayed."""
+    rate = str(1 / TARGET_GAP_SECONDS)
     engine = Engine("e0", "--token-rate", rate, "--slots", str(STREAMS))
     client = Client()
     try:
@@ -169,7 +169,11 @@
 
 
 async def _reclaim(way: str) -> None:
-    """Print the tokens that one reclaim under drafts has recomputed."""
+    """Print the tokens recomputed after one reclaim during drafts.
+
+    Args:
+        way: ``notice`` or ``kill``.
+    """
     options = ("--token-rate", "100", "--slots", "16")
     old, new = Engine("old", *options), Engine("new", *options)
     client = Client()
@@ -198,7 +202,7 @@
             asyncio.ensure_future(run(f"draft-{n}", answers))
             for n in range(DRAFTS)
         ]
-        while not answers or len(answers[-1].tokens) < RECLAIM_AT:  # noqa: ASYNC110
+        while not answers or len(answers[-1].tokens) < RECLAIM_AFTER_TOKENS:  # noqa: ASYNC110
             await asyncio.sleep(0.01)
         if way == "notice":
             deadline = asyncio.get_running_loop().time() + 1.5
--- a/bench/store.py
+++ b/bench/store.py
@@ -1,9 +1,9 @@
-"""Counts the store's operations for bookings and leases.
+"""Counts the store operations of bookings and leases.
 
-``python -m bench.store`` plays bookings at growing concurrency through one
-gateway's ledger against the stand-in store with a fixed time per operation,
-and then the leases of one controller, and prints operations per booking and
-per lease and hour.
+``python -m bench.store`` runs bookings at increasing concurrency through the
+ledger of one gateway, against the stand-in store with a fixed time per
+operation. Then it runs a lease with one holder and one contender. It prints
+operations per booking, and per lease and hour.
 """
 
 import asyncio
@@ -29,15 +29,15 @@
 
 STORE_SECONDS = 0.005
 RUN_SECONDS = 0.05
-BOOKINGS_EACH = 100
+BOOKINGS_PER_CALLER = 100
 CONCURRENCIES = (1, 4, 16, 64, 256)
 LEASE_SECONDS = 3.0
-# The lease is played this much faster than it runs.
+# Factor by which the durations of the lease are shortened.
 LEASE_SPEED = 50.0
 
 
 class CountingStore:
-    """Store in this process that takes time and counts its operations."""
+    """In-process store that delays and counts its operations."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -76,7 +76,15 @@
 
 
 class Load(NamedTuple):
-    """What one level of concurrency cost."""
+    """Results at one level of concurrency.
+
+    Attributes:
+        concurrency: Concurrent bookings.
+        rate: Bookings per second.
+        transactions: Transactions per booking.
+        rows: Rows written per booking.
+        reads: Reads per booking.
+    """
 
     concurrency: int
     rate: float
@@ -86,14 +94,14 @@
 
 
 async def play_bookings(concurrency: int) -> Load:
-    """Take bookings, so many at a time, and count per booking."""
+    """Run ``concurrency`` bookings at a time; count operations for each."""
     store = CountingStore()
     ledger = Ledger(store, "gateway")
-    bookings = BOOKINGS_EACH * concurrency
-    left = iter(range(bookings))
+    bookings = BOOKINGS_PER_CALLER * concurrency
+    remaining = iter(range(bookings))
 
     async def call() -> None:
-        for number in left:
+        for number in remaining:
             outcome = await ledger.run_booking(
                 f"ledger/w/{number}", "digest", 30.0, _Runner()
             )
@@ -113,7 +121,7 @@
 
 
 async def play_lease() -> dict[str, float]:
-    """Hold a lease and watch it from another process, sped up."""
+    """Run a holder and a contender of one lease, sped up."""
     policy = LeasePolicy()
     quick = LeasePolicy(*(seconds / LEASE_SPEED for seconds in policy))
     costs = {}
@@ -134,7 +142,7 @@
 
 
 def main() -> None:
-    """Print the tables."""
+    """Print the operations per booking, and per lease and hour."""
     print("concurrency  bookings/s  transactions  rows  reads  per booking")
     for concurrency in CONCURRENCIES:
         load = asyncio.run(play_bookings(concurrency))
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -43,7 +43,7 @@
 
 
 def fit(rows: list[dict[str, float]], figure: str) -> dict[str, float]:
-    """Return slope and intercept of ``figure`` by streams."""
+    """Return the slope and intercept of ``figure`` by stream count."""
     counts = [row["streams"] for row in rows]
     values = [row[figure] for row in rows]
     slope, base = numpy.polyfit(counts, values, 1)
@@ -51,10 +51,10 @@
 
 
 def main() -> None:
-    """Measure at several numbers of streams and print the slopes."""
+    """Measure several stream counts and print the rows and linear fits."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("streams", type=int, nargs="*")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     options = ("--token-rate", str(TOKEN_RATE), "--slots", "256")
     system = LocalSystem(
         gateways=1, engines=4, services=1, engine_options=options, slots=256
@@ -63,7 +63,7 @@
     try:
         system.start()
         process = system.processes["gateway-1"]
-        for count in given.streams or [20, 60, 120, 180]:
+        for count in arguments.streams or [20, 60, 120, 180]:
             rows.append(asyncio.run(measure(system, process, count)))
     finally:
         system.stop()
--- a/bench/system.py
+++ b/bench/system.py
@@ -1,4 +1,7 @@
-"""A whole system of separate processes on loopback, for demo and stories."""
+"""Starts a complete local system on loopback, one process per component.
+
+The demo, the feature scenarios and the benchmarks share it.
+"""
 
 import fcntl
 import json
@@ -24,15 +27,21 @@
 DOMAINS = ("domain-a", "domain-b", "domain-c")
 START_SECONDS = 30.0
 PORTS = (15000, 32000)
-_given: set[int] = set()
-_claims: dict[int, IO[str]] = {}
+_reserved_ports: set[int] = set()
+_port_locks: dict[int, IO[str]] = {}
+
 
+def _lock_port(port: int) -> bool:
+    """Lock a port against other systems on this host until the process ends.
 
-def _claim(port: int) -> bool:
-    """Claim a port among all systems of this host, until the process ends.
+    Without the lock, two systems that start concurrently may pick the same
+    port: both find it free, and the second one to listen fails to start.
 
-    Two systems that start side by side may draw the same port: it is free
-    for both when they look, and the one that listens later does not start.
+    Args:
+        port: TCP port number.
+
+    Returns:
+        Whether the lock was acquired.
     """
     path = Path(tempfile.gettempdir()) / f"lagoonpost-port-{port}"
     file = path.open("w")
@@ -41,34 +50,41 @@
     except BlockingIOError:
         file.close()
         return False
-    _claims[port] = file
+    _port_locks[port] = file
     return True
 
 
 def find_port() -> int:
-    """Return a TCP port that is free on loopback now.
+    """Reserve a TCP port that is currently free on loopback.
 
-    It lies below the range that the kernel takes for outgoing connections:
-    one from that range is sometimes taken again before it is listened on.
+    The port lies below the kernel's ephemeral range: the kernel may assign
+    a port of that range to an outgoing connection before the caller listens
+    on it.
     """
     while True:
         port = random.SystemRandom().randrange(*PORTS)
-        if port in _given or not _claim(port):
+        if port in _reserved_ports or not _lock_port(port):
             continue
-        _given.add(port)
+        _reserved_ports.add(port)
         with socket.socket() as probe, suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
 
 
 def release_port(port: int) -> None:
-    """Let other systems have a port that is no longer used."""
-    _given.discard(port)
-    _claims.pop(port).close()
+    """Release a port from ``find_port`` that is no longer used."""
+    _reserved_ports.discard(port)
+    _port_locks.pop(port).close()
 
 
 class Process:
-    """One started process, its address and its log."""
+    """A child process that runs a Python module.
+
+    Args:
+        name: Name of the process.
+        arguments: Module name and its arguments.
+        log: File that receives standard output and standard error.
+    """
 
     def __init__(self, name: str, arguments: list[str], log: Path) -> None:
         self.name = name
@@ -79,12 +95,12 @@
 
     @property
     def pid(self) -> int:
-        """Process id while it runs."""
+        """Process id of the most recent start."""
         assert self._popen is not None
         return self._popen.pid
 
     def start(self) -> None:
-        """Start, or start again at the same address."""
+        """Start the process, or restart it with the same arguments."""
         self._output = self.log.open("ab")
         environment = {
             **os.environ,
@@ -98,32 +114,32 @@
         )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is running."""
         if self._popen is not None and self._popen.poll() is None:
             self._popen.send_signal(number)
 
     def wait(self, timeout: float) -> int:
-        """Wait for the end and return the exit status."""
+        """Wait up to ``timeout`` seconds and return the exit status."""
         assert self._popen is not None
         return self._popen.wait(timeout)
 
     def freeze(self) -> None:
-        """Stop the process as SIGSTOP does, and wait until it stands."""
+        """Send SIGSTOP and wait until the process is stopped."""
         self.send(signal.SIGSTOP)
         while not self.is_frozen():
             time.sleep(0.01)
 
     def is_frozen(self) -> bool:
-        """Tell whether the process is stopped or has ended."""
+        """Return whether the process is stopped or has exited."""
         status = psutil.Process(self.pid).status()
         return status in (psutil.STATUS_STOPPED, psutil.STATUS_ZOMBIE)
 
     def is_running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Return whether the process has been started and not exited."""
         return self._popen is not None and self._popen.poll() is None
 
     def stop(self) -> None:
-        """End the process however it is."""
+        """Kill the process if it is running and close its log."""
         if self._popen is not None and self._popen.poll() is None:
             self._popen.kill()
             self._popen.wait()
@@ -132,14 +148,14 @@
 
 
 class LocalSystem:
-    """Platform, engines, booking runners and gateways as processes.
+    """A platform, engines, booking runners, gateways and controllers.
 
     Args:
         gateways: Number of gateways.
         engines: Number of engines.
         services: Number of booking runners.
-        engine_options: Further arguments of the engines.
-        slots: Requests that each runner is declared to run side by side.
+        engine_options: Additional arguments of the engine stand-ins.
+        slots: Declared number of concurrent requests of each runner.
         controllers: Number of controllers.
     """
 
@@ -177,7 +193,7 @@
             self._add_controller(name, DOMAINS[number % len(DOMAINS)])
 
     def start(self) -> None:
-        """Start all processes, hand in the first ticket, wait for ready."""
+        """Start all processes, apply a first ticket, wait until ready."""
         for process in self.processes.values():
             process.start()
         for name in self.addresses:
@@ -185,13 +201,17 @@
         self._apply_ticket()
 
     def stop(self) -> None:
-        """End all processes and remove the logs."""
+        """Stop all processes and remove their logs."""
         for process in self.processes.values():
             process.stop()
         self._folder.cleanup()
 
     def wait_listening(self, name: str) -> None:
-        """Wait until the process takes connections."""
+        """Wait until a process accepts connections.
+
+        Raises:
+            RuntimeError: It does not listen within ``START_SECONDS``.
+        """
         deadline = time.monotonic() + START_SECONDS
         while time.monotonic() < deadline:
             try:
@@ -204,7 +224,7 @@
         raise RuntimeError(f"{name} does not listen:\n{log[-2000:]}")
 
     def run_cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run a command of the product's command line."""
+        """Run a ``lagoonpost`` command as the operator and the demo caller."""
         environment = {
             **os.environ,
             "LAGOONPOST_OPERATOR_KEY": OPERATOR_KEY,
@@ -223,7 +243,7 @@
     def _add_standin(self, name: str, kind: str, *options: str) -> None:
         arguments = ["lagoonpost_standins", kind]
         arguments += ["--listen", str(self.addresses[name]), *options]
-        self._add(name, arguments)
+        self._add_process(name, arguments)
 
     def _add_gateway(self, name: str, domain: str) -> None:
         arguments = ["lagoonpost", "gateway", "--name", name]
@@ -235,7 +255,7 @@
         for other in self.gateways[:3]:
             if other != name:
                 arguments += ["--seed-peer", str(self._peers[other])]
-        self._add(name, arguments)
+        self._add_process(name, arguments)
 
     def _add_controller(self, name: str, domain: str) -> None:
         arguments = ["lagoonpost", "controller", "--name", name]
@@ -243,9 +263,9 @@
         arguments += ["--failure-domain", domain]
         for seed in self._peers.values():
             arguments += ["--seed-peer", str(seed)]
-        self._add(name, arguments)
+        self._add_process(name, arguments)
 
-    def _add(self, name: str, arguments: list[str]) -> None:
+    def _add_process(self, name: str, arguments: list[str]) -> None:
         log = Path(self._folder.name) / f"{name}.log"
         self.processes[name] = Process(name, arguments, log)
 
@@ -254,7 +274,13 @@
         self.apply_ticket(path)
 
     def apply_ticket(self, path: Path) -> None:
-        """Hand in a ticket and wait until it is in force everywhere."""
+        """Submit a change ticket and wait until running gateways are ready.
+
+        Frozen gateways are skipped.
+
+        Raises:
+            RuntimeError: The command line reports a failure.
+        """
         entries = []
         for name in self.gateways:
             if not self.processes[name].is_frozen():
@@ -265,13 +291,13 @@
         self.wait_ready()
 
     def write_file(self, name: str, text: str) -> Path:
-        """Write a file that goes with the system and return its path."""
+        """Write a file to the system's temporary folder; return its path."""
         path = Path(self._folder.name) / name
         path.write_text(text)
         return path
 
     def wait_ready(self) -> None:
-        """Wait until every running gateway serves."""
+        """Wait until every gateway that is not frozen reports ready."""
         for name in self.gateways:
             if not self.processes[name].is_frozen():
                 self._wait_gateway(name)
@@ -294,7 +320,7 @@
         raise RuntimeError(f"{name} is not ready")
 
     def write_ticket(self, number: int) -> str:
-        """Return the first ticket with this system's addresses."""
+        """Return the example ticket for this system's runners."""
         example = Path(__file__).parent.parent / "examples" / "tickets"
         text = (example / "1-start.yaml").read_text()
         head = text[: text.index("runners:")]
@@ -302,7 +328,7 @@
         lines = ["runners:"]
         members = [(name, "assistant") for name in self.engines]
         members += [(name, "booking") for name in self.services]
-        for place, (name, service) in enumerate(members):
+        for index, (name, service) in enumerate(members):
             lines += [
                 f"  {name}:",
                 f"    endpoint: {self.addresses[name]}",
@@ -310,6 +336,6 @@
                 "    version: v1",
                 f"    slots: {self._slots}",
                 f"    host: host-{name}",
-                f"    failure_domain: {DOMAINS[place % len(DOMAINS)]}",
+                f"    failure_domain: {DOMAINS[index % len(DOMAINS)]}",
             ]
         return head + "\n".join(lines) + "\n"
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,4 +1,4 @@
-"""Calls, runners and declarations of the seeded player of load."""
+"""Calls, runners and declarations of the seeded load simulator."""
 
 import math
 from collections import OrderedDict
@@ -20,7 +20,7 @@
 
 TOKEN_SECONDS = 0.02
 PREFILL_SECONDS = 0.0005
-# A batch may be this many times the slots, at more time per token.
+# Largest batch relative to the slots; beyond the slots, tokens take longer.
 MAX_BATCH_RATIO = 2
 
 ROUTES = (
@@ -37,15 +37,16 @@
     """One request that a caller will send.
 
     Attributes:
-        time: When it is sent.
-        workspace: Who pays.
-        request_class: Its class; also the name of its route.
-        prompt: Prompt tokens.
-        output: Tokens that it will generate.
-        prefix: Hashes of its prompt's blocks.
-        expected: Tokens that the gateway expects; ``output`` if None.
-        again: Whether a refused caller comes back at once.
-        heeds: Whether it comes back when it was told to.
+        time: Time of sending, in seconds.
+        workspace: Workspace that pays for the request.
+        request_class: Class of the request; also the name of its route.
+        prompt: Number of prompt tokens.
+        output: Number of tokens that the request generates.
+        prefix: Hashes of the blocks of the prompt.
+        expected: Output tokens that the gateway expects; ``output`` if None.
+        again: Whether a refused caller retries without regard to
+            Retry-After.
+        heeds: Whether a refused caller retries after Retry-After.
     """
 
     time: float
@@ -61,7 +62,20 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What one caller got."""
+    """What the caller of one request received; times in seconds.
+
+    Attributes:
+        call: The request.
+        arrived: Time of arrival at the gateway.
+        first: Time of the first token.
+        finished: Time of the end of the answer.
+        refused: Time of the refusal.
+        retry_after: Seconds of Retry-After in the refusal.
+        runner: Runner of the last attempt.
+        dispatched: Time of the last dispatch.
+        attempts: Number of dispatches.
+        reused: Prompt tokens found in the cache of the runner.
+    """
 
     call: Call
     arrived: float
@@ -76,7 +90,7 @@
 
     @property
     def good(self) -> bool:
-        """Whether the answer began within its class's target."""
+        """Whether the first token met the target of the request class."""
         target = TARGETS[self.call.request_class]
         return (
             self.finished is not None
@@ -87,7 +101,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """One request in a fake runner."""
+    """One request on a simulated runner; times in virtual seconds."""
 
     id: str
     gateway: int
@@ -100,7 +114,24 @@
 
 @dataclass(slots=True)
 class FakeRunner:
-    """An engine that shares its speed over a batch beyond its slots."""
+    """A simulated engine that slows down when its batch exceeds its slots.
+
+    Attributes:
+        runner: Declaration of the runner.
+        slowdown: Returns the factor of slowdown, from the time in seconds and
+            the number of running requests.
+        fails: Returns whether dispatches fail at a time in seconds.
+        cache_blocks: Capacity of the prefix cache.
+        virtual: Virtual seconds of work done by every running job.
+        updated: Time up to which ``virtual`` is computed.
+        alive: Whether the runner still exists.
+        running: Jobs in the batch, by request id.
+        waiting: Jobs that wait for the batch, in order of arrival.
+        steps: Heap of virtual time, kind of event and request id.
+        cache: Cached blocks, least recently used first.
+        schedule_version: Invalidates steps scheduled under earlier versions.
+        work: Seconds of work dispatched to the runner.
+    """
 
     runner: Runner
     slowdown: Slowdown = lambda now, running: 1.0
@@ -117,18 +148,18 @@
     work: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Return virtual seconds per second."""
+        """Return virtual seconds of progress per second."""
         running = len(self.running)
         batch = max(1.0, running / self.runner.slots)
         return 1.0 / (batch * self.slowdown(now, running))
 
     def advance(self, now: float) -> None:
-        """Bring the work done up to now."""
+        """Advance the virtual time to ``now``."""
         self.virtual += (now - self.updated) * self.rate(self.updated)
         self.updated = now
 
     def start(self) -> None:
-        """Move waiting jobs into the batch."""
+        """Move waiting jobs into the batch while it has room."""
         most = self.runner.slots * MAX_BATCH_RATIO
         while self.waiting and len(self.running) < most:
             job = self.waiting.pop(0)
@@ -139,18 +170,18 @@
             heappush(self.steps, (end, "finished", job.id))
 
     def reuse(self, prefix: tuple[int, ...]) -> int:
-        """Return cached blocks of a prompt, and cache all of it."""
-        held = 0
+        """Return the number of leading cached blocks; cache all blocks."""
+        cached = 0
         for block in prefix:
             if block not in self.cache:
                 break
-            held += 1
+            cached += 1
         for block in prefix:
             self.cache[block] = None
             self.cache.move_to_end(block)
         while len(self.cache) > self.cache_blocks:
             self.cache.popitem(last=False)
-        return held
+        return cached
 
 
 def make_declaration(
@@ -160,7 +191,15 @@
     versions: dict[str, float] | None = None,
     domains: int = 3,
 ) -> Declaration:
-    """Declare one model service over several failure domains."""
+    """Return a declaration of one model service.
+
+    Args:
+        runners: Number of runners.
+        slots: Concurrent requests of each runner.
+        weights: Weight by workspace.
+        versions: Traffic share by version; ``v1`` alone if None.
+        domains: Number of failure domains.
+    """
     shares = versions or {"v1": 1.0}
     names = list(shares)
     return Declaration(
@@ -192,11 +231,11 @@
 
     Args:
         rng: Seeded generator.
-        rate: Calls a second.
-        start: First second.
-        end: Last second.
-        call: What to send; its ``output`` is the mean length, which is all
-            that the gateway knows of it.
+        rate: Calls per second.
+        start: Start in seconds.
+        end: End in seconds, exclusive.
+        call: Template of the calls; its ``output`` is the mean length, which
+            is also the length that the gateway expects.
     """
     calls: list[Call] = []
     time = start
@@ -211,12 +250,12 @@
 
 
 def find_quantile(values: Iterable[float], part: float) -> float:
-    """Return the value below which a part of the values lie."""
+    """Return the quantile of the values at ``part`` (0 to 1)."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
 def compute_capacity(runners: int, slots: int, call: Call) -> float:
-    """Return the calls a second that healthy runners can finish."""
+    """Return the calls per second that healthy runners can complete."""
     seconds = call.prompt * PREFILL_SECONDS + call.output * TOKEN_SECONDS
     return runners * slots / seconds
--- a/features/controller.feature
+++ b/features/controller.feature
@@ -1,9 +1,9 @@
-Feature: Controllers bring runners to what is declared
-  Each shard of the runners has one lease holder, whichever controllers run.
+Feature: Controllers apply the declaration to runners
+  Each shard of runners has one lease holder, whichever controllers are up.
 
-  Scenario: Runners get their versions, also after the holders are killed
-    All controllers die with their leases. The one that comes back is another
-    holder: it waits until they have lapsed, and loads what was declared.
+  Scenario: Runners load their versions even after the lease holders are killed
+    All controllers die holding their leases. The one that restarts is a new
+    holder: it waits until the leases expire, then loads the declared version.
     Given a system of 2 gateways and 2 engines with 2 controllers
     Then every engine has loaded v1
     When process controller-1 is killed
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Starts nothing; ends each scenario's processes."""
+"""Stops the processes of each scenario when it ends."""
 
 from typing import Any
 
--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -1,57 +1,58 @@
-Feature: Gateways come and go without harm to what they accepted
-  Gateway hosts are cheap: they are reclaimed, killed and frozen at any time.
+Feature: Requests survive the loss of the gateway that accepted them
+  Gateways run on cheap hosts that may be reclaimed, killed or frozen at any
+  time.
 
-  Scenario: A gateway is killed without notice under a draft
-    A teacher's long draft stops in mid-sentence as the process that relays
-    it dies. Her client goes on at another entry behind the last event.
+  Scenario: A gateway is killed without notice during a draft
+    A long draft stops in mid-sentence because the process that relays it
+    dies. The client resumes at another entry after the last event received.
     Given a system of 3 gateways and 2 engines
-    When the gateway of a draft gets SIGKILL behind token 20
-    Then the draft is whole
+    When the gateway of a draft gets SIGKILL after token 20
+    Then the draft is complete
 
-  Scenario: A gateway is frozen under a draft and thaws later
-    The connection stays open and silent. The client takes a stream without
-    comments for dead and resumes elsewhere; the thawed gateway's late
-    bytes reach nobody.
+  Scenario: A gateway is frozen during a draft and resumes later
+    The connection stays open and silent. A stream without keep-alive comments
+    counts as dead, so the client resumes elsewhere; nobody reads the late
+    bytes of the gateway that was frozen.
     Given a system of 3 gateways and 2 engines
-    When the gateway of a draft gets SIGSTOP behind token 20
-    Then the draft is whole
+    When the gateway of a draft gets SIGSTOP after token 20
+    Then the draft is complete
 
-  Scenario: A gateway's host is reclaimed under a draft
+  Scenario: A gateway's host is reclaimed during a draft
     The cloud gives a few seconds of notice. The gateway hands the request
-    over and tells the caller where to go on.
+    over and sends the caller the address at which to resume.
     Given a system of 3 gateways and 2 engines
     When the host of the gateway of a draft gets a notice of 4 seconds
-    Then the draft is whole
-    And the draft was moved, not cut
+    Then the draft is complete
+    And the draft was moved, not interrupted
 
-  Scenario: An operator stops a gateway under a draft and a booking
-    Both were accepted, so both end as if nothing had happened, and the
-    process ends by itself.
+  Scenario: An operator stops a gateway during a draft and a booking
+    Both were accepted, so both complete normally, and then the process exits
+    by itself.
     Given a system of 3 gateways and 2 engines
-    When gateway-1 gets SIGTERM under a draft and a booking
-    Then both are answered whole by gateway-1
+    When gateway-1 gets SIGTERM during a draft and a booking
+    Then both get complete answers from gateway-1
     And the booking ran once
     And gateway-1 ended with status 0
 
-  Scenario: A frozen gateway does not serve by the declaration it knew
-    A workspace is removed while a gateway is frozen. The first request
-    after the thaw must not be served by what the gateway knew before.
+  Scenario: A frozen gateway does not serve from its stale declaration
+    A workspace is removed while a gateway is frozen. The first request after
+    it resumes must not be served from the old declaration.
     Given a system of 3 gateways and 2 engines
-    When the market's key is withdrawn while gateway-3 is frozen
+    When the market's key is revoked while gateway-3 is frozen
     Then gateway-3 never serves the market again
 
-  Scenario: The platform's store is down for long
-    Drafts and checks need no store. Bookings can't be claimed, so they are
-    refused at once as not run, and work again when the store is back.
+  Scenario: The platform's store is down for a long time
+    Drafts and checks do not need the store. Bookings cannot be claimed, so
+    they are refused at once as not run, and work again when the store is back.
     Given a system of 3 gateways and 2 engines
     When the store goes down
     Then a draft and a check are answered
     And a booking is refused at once as not run
     When the store is back
-    Then a booking is taken
+    Then a booking succeeds
 
   Scenario: A gateway restarts while the store is down
-    It has no memory of its own. Peers give it the declaration in force.
+    It keeps no state on disk. Its peers send it the declaration in force.
     Given a system of 3 gateways and 2 engines
     When the store goes down
     And gateway-2 is killed and started again
--- a/features/steps/booking.py
+++ b/features/steps/booking.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about bookings."""
+"""Steps of the booking scenarios."""
 
 import asyncio
 import signal
@@ -12,17 +12,17 @@
 from lagoonpost.http.message import Response
 
 KEY = "pitch-9"
-PATIENCE = 60.0
-PAUSE = 0.2
+TIMEOUT_SECONDS = 60.0
+POLL_SECONDS = 0.2
 
 
-def order_services(context: Any, faults: dict[str, Any]) -> None:
+def set_service_faults(context: Any, faults: dict[str, Any]) -> None:
     system = context.system
     for name in system.services:
         asyncio.run(set_faults(system.addresses[name], faults))
 
 
-def order_platform(context: Any, faults: dict[str, Any]) -> None:
+def set_platform_faults(context: Any, faults: dict[str, Any]) -> None:
     address = context.system.addresses["platform"]
     asyncio.run(set_faults(address, faults))
 
@@ -35,9 +35,9 @@
 
 
 async def wait_for_run(context: Any) -> None:
-    """Wait until a runner has a booking in hand."""
+    """Wait until a booking runner has received a call."""
     system = context.system
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while True:
             for name in system.services:
                 counts = await fetch_counts(system.addresses[name])
@@ -48,12 +48,12 @@
 
 @given("bookings take {seconds:d} second")
 def slow_services(context: Any, seconds: int) -> None:
-    order_services(context, {"slow": float(seconds)})
+    set_service_faults(context, {"slow": float(seconds)})
 
 
-@given("the store takes {seconds:d} second")
+@given("each store operation takes {seconds:d} second")
 def slow_store(context: Any, seconds: int) -> None:
-    order_platform(context, {"slow": float(seconds)})
+    set_platform_faults(context, {"slow": float(seconds)})
 
 
 @when("gateway-1 gets SIGKILL while it runs a booking")
@@ -69,13 +69,13 @@
     context.answers = []
 
 
-@when("gateway-1 is frozen for {seconds:d} seconds under a claim")
+@when("gateway-1 is frozen for {seconds:d} seconds during a claim")
 def freeze_gateway(context: Any, seconds: int) -> None:
     process = context.system.processes["gateway-1"]
 
     async def run() -> Response:
         call = asyncio.create_task(book(context.system, "gateway-1", KEY))
-        # Half of what the store takes: the claim is sent, not answered.
+        # Half of the store's delay: the claim is sent but not answered yet.
         await asyncio.sleep(0.5)
         process.send(signal.SIGSTOP)
         await asyncio.sleep(seconds)
@@ -89,29 +89,29 @@
 
 @when("the store loses {replies:d} replies")
 def lose_replies(context: Any, replies: int) -> None:
-    order_platform(context, {"lose_replies": replies})
+    set_platform_faults(context, {"lose_replies": replies})
     context.answers = []
 
 
-@when("runners cut a booking after its effect")
-def cut_runners(context: Any) -> None:
-    order_services(context, {"cut": "after"})
+@when("runners close the connection after running a booking")
+def close_after_run(context: Any) -> None:
+    set_service_faults(context, {"cut": "after"})
     context.answers = []
 
 
 @when("runners refuse all bookings")
 def refuse_bookings(context: Any) -> None:
-    order_services(context, {"refuse": 1_000_000})
+    set_service_faults(context, {"refuse": 1_000_000})
     context.answers = []
 
 
-@when("{name} is dead, whom no notice announced")
+@when("{name} dies without notice")
 def kill_runner(context: Any, name: str) -> None:
     context.system.processes[name].stop()
 
 
-@then("{bookings:d} bookings are taken, each once, at the first try")
-def check_taken_once(context: Any, bookings: int) -> None:
+@then("{bookings:d} bookings succeed on the first attempt and run once each")
+def check_run_once(context: Any, bookings: int) -> None:
     for number in range(bookings):
         key = f"pitch-{number}"
         answer = asyncio.run(book(context.system, "gateway-1", key))
@@ -119,36 +119,36 @@
         assert asyncio.run(count_runs(context.system, key)) == 1
 
 
-@when("runners have room again")
+@when("runners have capacity again")
 def accept_bookings(context: Any) -> None:
-    order_services(context, {})
+    set_service_faults(context, {})
 
 
-@when("the caller asks {gateway} once")
-def ask_once(context: Any, gateway: str) -> None:
+@when("the caller sends the booking to {gateway} once")
+def send_once(context: Any, gateway: str) -> None:
     context.answers.append(asyncio.run(book(context.system, gateway, KEY)))
 
 
-@when("the caller asks {gateway} for {seconds:d} seconds")
-def ask_for(context: Any, gateway: str, seconds: int) -> None:
+@when("the caller retries at {gateway} for {seconds:d} seconds")
+def retry_for(context: Any, gateway: str, seconds: int) -> None:
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
-        ask_once(context, gateway)
-        time.sleep(PAUSE)
+        send_once(context, gateway)
+        time.sleep(POLL_SECONDS)
 
 
-@when("the caller asks {gateway} until the booking is taken")
-def ask_until_taken(context: Any, gateway: str) -> None:
-    deadline = time.monotonic() + PATIENCE
-    ask_once(context, gateway)
+@when("the caller retries at {gateway} until the booking succeeds")
+def retry_until_success(context: Any, gateway: str) -> None:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    send_once(context, gateway)
     while context.answers[-1].status != 200:
         assert time.monotonic() < deadline, context.answers[-1]
-        time.sleep(PAUSE)
-        ask_once(context, gateway)
+        time.sleep(POLL_SECONDS)
+        send_once(context, gateway)
     context.through = gateway
 
 
-@when("the store is down from the run of a booking until after its answer")
+@when("the store is down from the start of a booking until it is answered")
 def lose_store(context: Any) -> None:
     platform = context.system.addresses["platform"]
 
@@ -180,11 +180,11 @@
     context.bookings = bookings
 
 
-@then("all answers said {execution}")
+@then("all answers report execution {execution}")
 def check_executions(context: Any, execution: str) -> None:
     seen = {read_execution(answer) for answer in context.answers}
     assert seen == {execution}, context.answers
-    # Whoever is given up on is told when to come back.
+    # A refused caller must learn when to retry.
     assert all(answer.header("retry-after") for answer in context.answers)
 
 
@@ -206,7 +206,7 @@
     assert first.body == last.body, (first, last)
 
 
-@then("each of them ran once")
+@then("each booking ran once")
 def check_each(context: Any) -> None:
     for number in range(context.bookings):
         runs = asyncio.run(count_runs(context.system, f"pitch-{number}"))
--- a/features/steps/controller.py
+++ b/features/steps/controller.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about controllers."""
+"""Steps of the controller scenarios."""
 
 import json
 import signal
@@ -10,7 +10,7 @@
 
 from bench.system import LocalSystem
 
-LONG = 60.0
+TIMEOUT_SECONDS = 60.0
 
 
 @given(
@@ -24,19 +24,19 @@
     context.system.start()
 
 
-def read_orders(system: LocalSystem, name: str) -> dict[str, Any]:
+def read_engine_state(system: LocalSystem, name: str) -> dict[str, Any]:
     address = system.addresses[name]
     connection = HTTPConnection(address.host, address.port, timeout=5.0)
     connection.request("GET", "/v1/state")
-    counts: dict[str, Any] = json.load(connection.getresponse())
+    state: dict[str, Any] = json.load(connection.getresponse())
     connection.close()
-    return counts
+    return state
 
 
 def wait_loaded(system: LocalSystem, name: str, version: str) -> None:
-    deadline = time.monotonic() + LONG
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < deadline:
-        if version in read_orders(system, name)["versions"]:
+        if version in read_engine_state(system, name)["versions"]:
             return
         time.sleep(0.2)
     raise AssertionError(f"{name} has not loaded {version}")
@@ -52,7 +52,7 @@
 def kill(context: Any, name: str) -> None:
     process = context.system.processes[name]
     process.send(signal.SIGKILL)
-    process.wait(LONG)
+    process.wait(TIMEOUT_SECONDS)
 
 
 @when("process {name} is started again")
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about gateways."""
+"""Steps of the gateway scenarios."""
 
 import asyncio
 import signal
@@ -26,7 +26,7 @@
 TOKENS = 150
 BOOKINGS = "/v1/services/booking/bookings"
 CHECK = "/v1/services/booking/checks/kiln"
-LONG = 60.0
+TIMEOUT_SECONDS = 60.0
 
 
 @given("a system of {gateways:d} gateways and {engines:d} engines")
@@ -38,7 +38,7 @@
 async def run_draft(
     system: LocalSystem, act: Callable[[Address], None] | None
 ) -> tuple[Draft, list[str]]:
-    """Stream a draft; act on its entry behind token 20."""
+    """Stream a draft and call ``act`` with its entry after token 20."""
     entries = [system.addresses[name] for name in system.gateways]
     caller = Caller(entries, "demo-key")
     entry = (await caller.list_entries())[0]
@@ -65,12 +65,12 @@
     return next(n for n in system.gateways if system.addresses[n] == entry)
 
 
-def play_draft(context: Any, act: Callable[[Address], None]) -> None:
-    context.calm, _ = asyncio.run(run_draft(context.system, None))
+def run_draft_with_fault(context: Any, act: Callable[[Address], None]) -> None:
+    context.reference, _ = asyncio.run(run_draft(context.system, None))
     context.draft, context.causes = asyncio.run(run_draft(context.system, act))
 
 
-@when("the gateway of a draft gets {name} behind token 20")
+@when("the gateway of a draft gets {name} after token 20")
 def signal_gateway(context: Any, name: str) -> None:
     system = context.system
 
@@ -78,7 +78,7 @@
         gateway = find_gateway(system, entry)
         system.processes[gateway].send(signal.Signals[name])
 
-    play_draft(context, act)
+    run_draft_with_fault(context, act)
 
 
 @when(
@@ -92,17 +92,17 @@
         notice = {"host": host, "deadline": time.time() + seconds}
         post(system.addresses["platform"], "/standin/notices", notice)
 
-    play_draft(context, act)
+    run_draft_with_fault(context, act)
 
 
-@then("the draft is whole")
+@then("the draft is complete")
 def check_whole(context: Any) -> None:
-    assert context.calm.tokens == TOKENS, context.calm
-    assert context.draft.text == context.calm.text, context.draft
-    assert context.draft.end == context.calm.end, context.draft
+    assert context.reference.tokens == TOKENS, context.reference
+    assert context.draft.text == context.reference.text, context.draft
+    assert context.draft.end == context.reference.end, context.draft
 
 
-@then("the draft was moved, not cut")
+@then("the draft was moved, not interrupted")
 def check_moved(context: Any) -> None:
     assert context.causes == ["moved"], context.causes
 
@@ -141,7 +141,7 @@
         client.close()
 
 
-@when("gateway-1 gets SIGTERM under a draft and a booking")
+@when("gateway-1 gets SIGTERM during a draft and a booking")
 def stop_gateway(context: Any) -> None:
     system = context.system
     for name in system.services:
@@ -169,7 +169,7 @@
     context.answers = asyncio.run(run())
 
 
-@then("both are answered whole by gateway-1")
+@then("both get complete answers from gateway-1")
 def check_answers(context: Any) -> None:
     draft, booking = context.answers
     assert draft.status == 200, draft
@@ -199,11 +199,11 @@
 
 @then("gateway-1 ended with status 0")
 def check_status(context: Any) -> None:
-    assert context.system.processes["gateway-1"].wait(LONG) == 0
+    assert context.system.processes["gateway-1"].wait(TIMEOUT_SECONDS) == 0
 
 
-@when("the market's key is withdrawn while gateway-3 is frozen")
-def withdraw_key(context: Any) -> None:
+@when("the market's key is revoked while gateway-3 is frozen")
+def revoke_key(context: Any) -> None:
     system = context.system
     answer = asyncio.run(
         call(system, "gateway-3", "GET", CHECK, key="market-key")
@@ -216,13 +216,13 @@
         "workspaces:\n  market: {absent: true}\n",
     )
     system.apply_ticket(path)
-    # Longer than a poll and the store's timeout together.
+    # Longer than the poll interval plus the store timeout.
     time.sleep(5.0)
     system.processes["gateway-3"].send(signal.SIGCONT)
 
 
 @then("gateway-3 never serves the market again")
-def check_withdrawn(context: Any) -> None:
+def check_revoked(context: Any) -> None:
     system = context.system
     deadline = time.monotonic() + 6.0
     seen = set()
@@ -270,8 +270,9 @@
 
 @then("a booking is refused at once as not run")
 def check_refused(context: Any) -> None:
-    # The first claim after the outage began may have been written with its
-    # reply lost. Nothing ran, but its key is taken until that is settled.
+    # The first claim after the start of the outage may have been committed
+    # although its reply was lost. Nothing ran, but the key stays claimed
+    # until the outcome of that write is resolved.
     first = msgspec.json.decode(book(context, "pitch-8").body)
     assert first["execution"] in ("unknown", "not_run"), first
     answer = book(context, "pitch-9")
@@ -281,9 +282,9 @@
     assert problem["retry_after"] > 0, problem
 
 
-@then("a booking is taken")
-def check_taken(context: Any) -> None:
-    deadline = time.monotonic() + LONG
+@then("a booking succeeds")
+def check_booking_succeeds(context: Any) -> None:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     answer = book(context, "pitch-9")
     while answer.status == 503 and time.monotonic() < deadline:
         time.sleep(0.5)
--- a/features/steps/peers.py
+++ b/features/steps/peers.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about members."""
+"""Steps of the gossip scenarios."""
 
 import asyncio
 import contextlib
@@ -11,68 +11,68 @@
 from bench.gossip import Member, Plan, start_all, start_member
 
 PLAN = Plan(seconds=0, burst=0, regions=1, channels=8, rings=3)
-TRIES = 600
-PAUSE = 0.1
+POLLS = 600
+POLL_SECONDS = 0.1
 
 
 class Cluster:
-    """Member processes, and the loop that talks to them."""
+    """Member processes and the event loop that drives them."""
 
     def __init__(self, size: int) -> None:
         self._loop = asyncio.new_event_loop()
         self._stack = contextlib.AsyncExitStack()
         self.members = self.run(start_all(size, PLAN, self._stack))
-        self.away: set[int] = set()
+        self.stopped: set[int] = set()
 
     def run(self, task: Coroutine[Any, Any, Any]) -> Any:
-        """Run until the task has ended."""
+        """Run a coroutine to completion and return its result."""
         return self._loop.run_until_complete(task)
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes and close the loop."""
         self.run(self._stack.aclose())
         self._loop.close()
 
     def restart(self, number: int) -> None:
-        """Start a process with the name of one that was killed."""
+        """Start a new process under the name of a killed member."""
         seeds = [
             self.members[other].address
             for other in range(len(self.members))
-            if other not in self.away
+            if other not in self.stopped
         ]
         member: Member = self.run(start_member(number, seeds, PLAN))
         self._stack.push_async_callback(member.stop)
         self.members[number] = member
-        self.away.discard(number)
+        self.stopped.discard(number)
 
-    async def wait_until_all_hold(self, count: int) -> None:
-        """Wait until each running member lists ``count`` of them."""
-        running = set(range(len(self.members))) - self.away
-        for _ in range(TRIES):
+    async def wait_until_all_list(self, count: int) -> None:
+        """Wait until each running member lists ``count`` members."""
+        running = set(range(len(self.members))) - self.stopped
+        for _ in range(POLLS):
             reports = [await self.members[n].report() for n in running]
             if all(report["members"] == count for report in reports):
                 return
-            await asyncio.sleep(PAUSE)
-        raise AssertionError(f"not all came to hold {count} members")
+            await asyncio.sleep(POLL_SECONDS)
+        raise AssertionError(f"not every running member lists {count} members")
 
-    async def wait_until_running_know(self, key: str) -> None:
-        """Wait until each running member has a fact."""
-        running = set(range(len(self.members))) - self.away
-        for _ in range(TRIES):
+    async def wait_until_running_have(self, key: str) -> None:
+        """Wait until each running member has received a fact."""
+        running = set(range(len(self.members))) - self.stopped
+        for _ in range(POLLS):
             reports = [await self.members[n].report() for n in running]
             if all(key in report["known"] for report in reports):
                 return
-            await asyncio.sleep(PAUSE)
-        raise AssertionError(f"not all came to know {key}")
+            await asyncio.sleep(POLL_SECONDS)
+        raise AssertionError(f"not every running member has {key}")
 
     async def check_current(self, number: int, key: str) -> None:
-        """Check that the member is current only with the fact."""
-        for _ in range(TRIES):
+        """Check that a member has the fact once it reports as current."""
+        for _ in range(POLLS):
             report = await self.members[number].report()
             if report["current"]:
                 assert key in report["known"]
                 return
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_SECONDS)
         raise AssertionError("the member did not become current")
 
 
@@ -85,19 +85,19 @@
 @when("member {number:d} is frozen")
 def freeze(context: Any, number: int) -> None:
     context.cluster.members[number].usage.send_signal(signal.SIGSTOP)
-    context.cluster.away.add(number)
+    context.cluster.stopped.add(number)
 
 
-@when("member {number:d} goes on")
+@when("member {number:d} resumes")
 def thaw(context: Any, number: int) -> None:
     context.cluster.members[number].usage.send_signal(signal.SIGCONT)
-    context.cluster.away.discard(number)
+    context.cluster.stopped.discard(number)
 
 
 @when("member {number:d} is killed")
 def kill(context: Any, number: int) -> None:
     context.cluster.members[number].usage.kill()
-    context.cluster.away.add(number)
+    context.cluster.stopped.add(number)
 
 
 @when("member {number:d} is started again")
@@ -107,19 +107,19 @@
 
 @when('member {number:d} publishes "{key}"')
 def publish(context: Any, number: int, key: str) -> None:
-    # A story goes on once its step has happened: a busy member may take the
-    # line only after the next step, and what nobody knows yet can't be
-    # missed by one that thaws.
+    # Wait until the fact has spread. A busy member may read the command only
+    # after the next step, and a fact that no member has yet cannot be missed
+    # by a member that resumes.
     context.cluster.members[number].send_command(f"publish {key}")
-    context.cluster.run(context.cluster.wait_until_running_know(key))
+    context.cluster.run(context.cluster.wait_until_running_have(key))
 
 
-@then("the others hold {count:d} members")
-@then("all hold {count:d} members")
+@then("the others list {count:d} members")
+@then("all list {count:d} members")
 def check_members(context: Any, count: int) -> None:
-    context.cluster.run(context.cluster.wait_until_all_hold(count))
+    context.cluster.run(context.cluster.wait_until_all_list(count))
 
 
-@then('member {number:d} knows "{key}" once it is current')
+@then('member {number:d} has "{key}" once it is current')
 def check_fact(context: Any, number: int, key: str) -> None:
     context.cluster.run(context.cluster.check_current(number, key))
--- a/features/steps/reclaim.py
+++ b/features/steps/reclaim.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about runners."""
+"""Steps of the runner scenarios."""
 
 import asyncio
 import signal
@@ -17,8 +17,8 @@
 from lagoonpost_standins.engine_model import make_text
 
 TOKENS = 300
-ACT_AT = 40
-# 402 tokens to prefill, so that a recompute shows.
+FAULT_AFTER_TOKENS = 40
+# 402 tokens of prefill, so that a recompute is visible in the counts.
 PROMPT = "A term plan of " * 100
 MARKER = "crash the runner"
 CHAT = "/v1/chat/completions"
@@ -45,7 +45,7 @@
 
 
 async def _count(system: LocalSystem) -> dict[str, int]:
-    """Sum up what the engines that still answer have done."""
+    """Sum the token counts of the engines that still run."""
     total = {"tokens_recomputed": 0, "tokens_generated": 0}
     for name in system.engines:
         if system.processes[name].is_running():
@@ -74,10 +74,10 @@
             made = (await _count(system))["tokens_generated"]
 
 
-def _play(
+def _run_drafts_with_fault(
     context: Any, drafts: int, act: Callable[[LocalSystem, str], Any]
 ) -> None:
-    """Run drafts and strike the runner of one in the middle."""
+    """Run drafts and inject a fault into the runner of one of them."""
     system = context.system
 
     async def run() -> None:
@@ -86,11 +86,11 @@
             asyncio.ensure_future(_stream(system, prompt))
             for prompt in prompts
         ]
-        await _wait_tokens(system, drafts * ACT_AT)
+        await _wait_tokens(system, drafts * FAULT_AFTER_TOKENS)
         busy = await find_busy_engine(system)
         assert busy is not None
-        struck = await _count_one(system, busy)
-        context.struck = struck
+        generated = await _count_one(system, busy)
+        context.generated = generated
         await act(system, busy)
         context.drafts = await asyncio.gather(*running)
         context.prompts = prompts
@@ -111,7 +111,7 @@
     return act
 
 
-@given("runners that cut exports at {percent:d} percent")
+@given("runners that abort exports at {percent:d} percent")
 def cut_exports(context: Any, percent: int) -> None:
     asyncio.run(_set_faults(context.system, export_cut=percent / 100))
 
@@ -130,15 +130,15 @@
         notice = {"host": f"host-{busy}", "deadline": deadline}
         await _call(system, "platform", "POST", "/standin/notices", notice)
         await asyncio.sleep(seconds)
-        context.struck = await _count_one(system, busy)
+        context.generated = await _count_one(system, busy)
         system.processes[busy].send(signal.SIGKILL)
 
-    _play(context, 1, act)
+    _run_drafts_with_fault(context, 1, act)
 
 
 @when("a draft's runner gets {name:w}")
 def signal_runner(context: Any, name: str) -> None:
-    _play(context, 1, _send(name))
+    _run_drafts_with_fault(context, 1, _send(name))
 
 
 @when("a draft's runner gets the fault {fault:w}")
@@ -147,7 +147,7 @@
         faults = {fault: True}
         await _call(system, busy, "POST", "/standin/faults", faults)
 
-    _play(context, 1, act)
+    _run_drafts_with_fault(context, 1, act)
 
 
 @when("all runners of a draft's failure domain get SIGKILL")
@@ -157,10 +157,10 @@
         for name in system.engines[place :: len(DOMAINS)]:
             system.processes[name].send(signal.SIGKILL)
 
-    _play(context, 6, act)
+    _run_drafts_with_fault(context, 6, act)
 
 
-@when("the marked request is sent to each gateway twice under drafts")
+@when("the marked request is sent to each gateway twice during drafts")
 def send_marked(context: Any) -> None:
     async def act(system: LocalSystem, busy: str) -> None:
         context.answers = []
@@ -168,13 +168,13 @@
         for name in [*system.gateways, *system.gateways]:
             answer = await _call(system, name, "POST", CHAT, body)
             context.answers.append(answer)
-            # The facts are under way for some milliseconds.
+            # Gossip takes some milliseconds to spread the facts.
             await asyncio.sleep(0.5)
 
-    _play(context, 4, act)
+    _run_drafts_with_fault(context, 4, act)
 
 
-@then("each draft comes whole")
+@then("each draft is complete")
 def check_whole(context: Any) -> None:
     for prompt, draft in zip(context.prompts, context.drafts, strict=True):
         messages = make_body(prompt)["messages"]
@@ -182,7 +182,7 @@
         assert draft.end == "length", draft.end
 
 
-@then("each draft can be asked for again")
+@then("each draft can be requested again")
 def check_again(context: Any) -> None:
     for prompt in context.prompts:
         draft = asyncio.run(_stream(context.system, prompt))
@@ -202,7 +202,8 @@
 
 @then("at least {least:d} tokens are recomputed")
 def check_recomputed(context: Any, least: int) -> None:
-    # The count must be able to show a recompute, else few prove nothing.
+    # Proves that the counter registers a recompute. Without this check, a
+    # low count elsewhere would prove nothing.
     count = _count_recomputed(context)
     print(f"recomputed: {count}")
     assert count >= least, count
@@ -211,7 +212,7 @@
 @then("fewer than {most:d} tokens are generated twice")
 def check_generated(context: Any, most: int) -> None:
     after = asyncio.run(_count(context.system))["tokens_generated"]
-    twice = after + context.struck - TOKENS
+    twice = after + context.generated - TOKENS
     print(f"generated twice: {twice}")
     assert twice < most, twice
 
--- a/features/steps/ticket.py
+++ b/features/steps/ticket.py
@@ -1,4 +1,4 @@
-"""Steps of the stories about tickets."""
+"""Steps of the change ticket scenarios."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from lagoonpost.cli.operator import OperatorClient
 from lagoonpost.http.message import Response
 
-LONG = 30.0
+TIMEOUT_SECONDS = 30.0
 KEY = "a" * 64
 
 
@@ -20,7 +20,7 @@
     return {"ticket": 2, "reason": "r", "workspaces": {"school": state}}
 
 
-async def hand_in(system: LocalSystem, name: str, weight: float) -> Response:
+async def submit(system: LocalSystem, name: str, weight: float) -> Response:
     entry = system.addresses[name]
     gateways = OperatorClient((entry,), OPERATOR_KEY)
     try:
@@ -41,18 +41,18 @@
     return json.loads(response.body)["objects"].get("workspace/school")
 
 
-@when("two operators hand in other tickets 2 at two gateways at once")
-def hand_in_both(context: Any) -> None:
+@when("two operators submit different tickets 2 to two gateways at once")
+def submit_both(context: Any) -> None:
     async def race() -> list[Response]:
         return await asyncio.gather(
-            hand_in(context.system, "gateway-1", 2.0),
-            hand_in(context.system, "gateway-2", 3.0),
+            submit(context.system, "gateway-1", 2.0),
+            submit(context.system, "gateway-2", 3.0),
         )
 
     context.answers = asyncio.run(race())
 
 
-@then("one is accepted and the other one's number is taken")
+@then("one is accepted and the other is refused as number_taken")
 def check_one(context: Any) -> None:
     first, second = context.answers
     assert sorted((first.status, second.status)) == [200, 409], first
@@ -61,11 +61,11 @@
     context.weight = 2.0 if first.status == 200 else 3.0
 
 
-@then("the accepted one is in force at every gateway")
+@then("the accepted ticket is in force at every gateway")
 def check_in_force(context: Any) -> None:
     wanted = make_content(context.weight)["workspaces"]["school"]
     for name in context.system.gateways:
-        deadline = time.monotonic() + LONG
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         state = None
         while state != wanted and time.monotonic() < deadline:
             found = asyncio.run(read_state(context.system, name))
@@ -76,7 +76,7 @@
 
 @then("a ticket is not accepted at gateway-1")
 def check_not_accepted(context: Any) -> None:
-    answer = asyncio.run(hand_in(context.system, "gateway-1", 2.0))
+    answer = asyncio.run(submit(context.system, "gateway-1", 2.0))
     assert answer.status == 503, answer
     assert answer.header("retry-after"), answer
     execution = json.loads(answer.body)["execution"]
@@ -85,9 +85,9 @@
 
 @then("the same ticket is accepted at gateway-2")
 def check_accepted(context: Any) -> None:
-    deadline = time.monotonic() + LONG
-    answer = asyncio.run(hand_in(context.system, "gateway-2", 2.0))
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    answer = asyncio.run(submit(context.system, "gateway-2", 2.0))
     while answer.status == 503 and time.monotonic() < deadline:
         time.sleep(0.5)
-        answer = asyncio.run(hand_in(context.system, "gateway-2", 2.0))
+        answer = asyncio.run(submit(context.system, "gateway-2", 2.0))
     assert answer.status == 200, answer
